--- a/crates/agent/src/driver.rs
+++ b/crates/agent/src/driver.rs
@@ -260,7 +260,9 @@
     fn follow(&mut self, followed: Option<Followed>) {
         let (stamp, document) = match followed {
             Some(Followed::Adopted { stamp, document }) => (stamp, document),
-            Some(Followed::Rival(document)) => return self.handle(AgentEvent::Rival { document }),
+            Some(Followed::Rival(document)) => {
+                return self.handle(AgentEvent::ConflictingDocument { document });
+            }
             None => return,
         };
         self.export.adopt(&document);
--- a/crates/core/src/agent/border.rs
+++ b/crates/core/src/agent/border.rs
@@ -23,7 +23,7 @@
     },
     /// A peer holds this document under the revision that is in force here; repeated every few
     /// seconds while it does.
-    Rival {
+    ConflictingDocument {
         /// What the peer holds.
         document: Arc<Document>,
     },
--- a/crates/core/src/agent/core.rs
+++ b/crates/core/src/agent/core.rs
@@ -110,7 +110,7 @@
         match event {
             AgentEvent::Tick => self.sweep(now, actions),
             AgentEvent::Adopted { stamp, document } => self.adopt(now, stamp, document, actions),
-            AgentEvent::Rival { document } => self.note_rival(now, document),
+            AgentEvent::ConflictingDocument { document } => self.note_rival(now, document),
             AgentEvent::LinkOpened { link, entry } => self.open_link(link, entry, actions),
             AgentEvent::LinkClosed { link } => self.close_link(now, link),
             AgentEvent::Message { link, message } => self.message(now, link, message, actions),
@@ -145,10 +145,10 @@
         actions: &mut Vec<AgentAction>,
     ) {
         match &self.document {
-            Some(before) if self.mechanisms.key_moved_homes => {
+            Some(before) if self.mechanisms.key_home_changes => {
                 self.homes.change(now, before, &document);
             }
-            None if self.mechanisms.key_unknown_horizon => self.homes.begin(now, &document),
+            None if self.mechanisms.unknown_keys_after_start => self.homes.begin(now, &document),
             _ => {}
         }
         for rival in std::mem::take(&mut self.rivals) {
@@ -169,7 +169,8 @@
     /// would see one key run twice, on a fleet whose revisions look the same. Keys whose home the
     /// two contents give to different agents are unknown, now and after the next document.
     fn note_rival(&mut self, now: Now, rival: Arc<Document>) {
-        let Some(document) = self.document.as_ref().filter(|_| self.mechanisms.key_rival_homes)
+        let Some(document) =
+            self.document.as_ref().filter(|_| self.mechanisms.conflicting_documents)
         else {
             return;
         };
--- a/crates/core/src/agent/drain.rs
+++ b/crates/core/src/agent/drain.rs
@@ -19,7 +19,7 @@
         for link in self.links.keys() {
             actions.push(AgentAction::Send { link: *link, message: ToEntry::Leaving });
         }
-        if self.mechanisms.hand_back_on_drain {
+        if self.mechanisms.refuse_queued_on_drain {
             self.hand_back_all(now, RefusalReason::Leaving, actions);
         }
     }
--- a/crates/core/src/agent/key_judgement.rs
+++ b/crates/core/src/agent/key_judgement.rs
@@ -97,7 +97,7 @@
         judgement: KeyJudgement,
         reason: RefusalReason,
     ) -> Option<KeyJudgement> {
-        if !self.mechanisms.key_before_refusal {
+        if !self.mechanisms.key_check_before_refusal {
             return None;
         }
         match judgement {
--- a/crates/core/src/agent/sweep.rs
+++ b/crates/core/src/agent/sweep.rs
@@ -73,7 +73,7 @@
         let running = self.running.contains(&run);
         let Some(execution) = self.executions.get_mut(&run) else { return false };
         let kept =
-            self.mechanisms.keyed_run_kept && execution.key.is_some() && !execution.idempotent;
+            self.mechanisms.keep_keyed_runs && execution.key.is_some() && !execution.idempotent;
         if !running || kept || execution.aborting || !execution.readers.is_empty() {
             return false;
         }
@@ -181,7 +181,7 @@
             }
         };
         self.audit(now, change, actions);
-        if !healthy && self.mechanisms.hand_back_on_backend_down {
+        if !healthy && self.mechanisms.refuse_queued_on_backend_down {
             self.hand_back_all(now, RefusalReason::BackendDown, actions);
         }
     }
--- a/crates/core/tests/agent_lives.rs
+++ b/crates/core/tests/agent_lives.rs
@@ -235,7 +235,7 @@
 }
 
 const SEEN: &[Mechanism] =
-    mechanisms!(key_unknown_horizon, key_moved_homes, key_home_check, key_future_check);
+    mechanisms!(unknown_keys_after_start, key_home_changes, key_home_check, key_future_check);
 
 #[test]
 fn the_runs_see_each_mechanism_missing() {
--- a/crates/core/tests/agent_mechanisms.rs
+++ b/crates/core/tests/agent_mechanisms.rs
@@ -47,14 +47,14 @@
     key_content_check => reused_key,
     key_home_check => foreign_key,
     key_recheck_at_start => twins,
-    key_unknown_horizon => restarted,
-    key_moved_homes => moved_home,
-    key_rival_homes => rival_home,
+    unknown_keys_after_start => restarted,
+    key_home_changes => moved_home,
+    conflicting_documents => rival_home,
     key_future_check => fast_clock,
-    key_before_refusal => told_not_run,
-    keyed_run_kept => caller_left,
-    hand_back_on_drain => drained_queue,
-    hand_back_on_backend_down => backend_died,
+    key_check_before_refusal => told_not_run,
+    keep_keyed_runs => caller_left,
+    refuse_queued_on_drain => drained_queue,
+    refuse_queued_on_backend_down => backend_died,
     drain_waits_for_acknowledgement => unacknowledged_end,
     start_guard => faulty_recheck,
 );
@@ -357,7 +357,7 @@
     let mut held_elsewhere = document();
     held_elsewhere.routes[1] = route("lodge", false, &["b1", "b2"]);
     let mut rig = Rig::warm(mechanisms);
-    rig.step(AgentEvent::Rival { document: Arc::new(held_elsewhere) });
+    rig.step(AgentEvent::ConflictingDocument { document: Arc::new(held_elsewhere) });
     let key = stamped_key_at(&document(), "lodge", "b0", rig.now.unix_ms.0);
     let before = rig.submit(lodge(1, key, rig.now));
     let mut after = document();
--- a/crates/core/tests/agent_random.rs
+++ b/crates/core/tests/agent_random.rs
@@ -55,8 +55,8 @@
     key_table,
     key_recheck_at_start,
     key_content_check,
-    key_before_refusal,
-    hand_back_on_drain,
+    key_check_before_refusal,
+    refuse_queued_on_drain,
 );
 
 // The observer is worth something only if it sees what each mechanism prevents. The agent's own
--- a/crates/core/tests/whole_system/adapter.rs
+++ b/crates/core/tests/whole_system/adapter.rs
@@ -290,7 +290,7 @@
                     self.both(now, entry, AgentEvent::Adopted { stamp, document: agent }, effects);
                 }
                 ExchangeAction::Rival(document) => {
-                    self.agent_event(now, AgentEvent::Rival { document }, effects);
+                    self.agent_event(now, AgentEvent::ConflictingDocument { document }, effects);
                 }
                 ExchangeAction::Announce { link, stamp } => {
                     effects.push(Effect::Send { link, frame: Frame::Announce(stamp) });
--- a/crates/core/tests/whole_system_mutations.rs
+++ b/crates/core/tests/whole_system_mutations.rs
@@ -77,13 +77,13 @@
     agent_case!(key_content_check, Some(2)),
     agent_case!(key_home_check, None),
     agent_case!(key_recheck_at_start, Some(6)),
-    agent_case!(key_unknown_horizon, Some(12)),
-    agent_case!(key_moved_homes, Some(6)),
-    agent_case!(key_rival_homes, None),
+    agent_case!(unknown_keys_after_start, Some(12)),
+    agent_case!(key_home_changes, Some(6)),
+    agent_case!(conflicting_documents, None),
     agent_case!(key_future_check, None),
-    agent_case!(keyed_run_kept, None),
-    agent_case!(hand_back_on_drain, None),
-    agent_case!(hand_back_on_backend_down, None),
+    agent_case!(keep_keyed_runs, None),
+    agent_case!(refuse_queued_on_drain, None),
+    agent_case!(refuse_queued_on_backend_down, None),
     agent_case!(drain_waits_for_acknowledgement, None),
     entry_case!(revoke, None),
     entry_case!(reattach, None),
@@ -119,7 +119,7 @@
 fn keys_run_twice_between_two_contents_of_a_revision_without_their_rival_homes() {
     let off = || Switches {
         agent: Some(agent::Mechanisms {
-            key_rival_homes: false,
+            conflicting_documents: false,
             start_guard: false,
             ..agent::Mechanisms::default()
         }),
