--- a/crates/core/src/agent/attempt.rs
+++ b/crates/core/src/agent/attempt.rs
@@ -1,65 +1,68 @@
-//! One row of the table of attempts.
+//! State of a single attempt.
 
 use crate::ids::{AttemptId, LinkId, RequestId};
 use crate::message::{RefusalReason, Submit};
 use crate::time::UnixMs;
 use crate::verdict::Verdict;
 
-/// What an agent keeps of an attempt until its deadline has safely passed.
+/// An attempt known to the agent.
+///
+/// The record is kept past the deadline by the clock skew bound, so that late copies are
+/// recognized.
 #[derive(Debug)]
 pub(crate) struct Attempt {
-    /// Where its messages go; none while its link is closed.
+    /// The link on which its messages are sent; none while that link is closed.
     pub(crate) link: Option<LinkId>,
-    /// No work on it begins at or after this moment.
+    /// The attempt must not start at or after this time.
     pub(crate) deadline: UnixMs,
-    /// Until when its entry may come back; never passes while a link is open.
+    /// When the attempt is given up unless its entry reattaches; `NEVER` while its link is open.
     pub(crate) orphan_at: UnixMs,
-    /// The row is kept at least until this moment.
+    /// The record is kept at least until this time.
     pub(crate) forget_at: UnixMs,
-    /// How far it has come.
+    /// Current stage.
     pub(crate) stage: Stage,
 }
 
-/// How far an attempt has come.
+/// Stage in the life cycle of an attempt.
 #[derive(Debug)]
 pub(crate) enum Stage {
-    /// It waits for a slot.
+    /// Waits in the queue for a slot.
     Queued(Box<Submit>),
-    /// It reads the answer of a run: its own, or an earlier one of its idempotency key.
-    Reading(Reading),
-    /// Nothing more will happen; a late copy gets the same answer again.
-    Closed(Closing),
+    /// Receives the response of a run: its own, or an earlier one with its idempotency key.
+    Reading(ReadProgress),
+    /// Finished; a late copy of its submit gets the same reply again.
+    Closed(FinalState),
 }
 
-/// How much of a run's answer an attempt's entry holds.
+/// How much of a run's response the attempt's entry has acknowledged.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Reading {
-    /// The attempt that was given to the backend server.
+pub(crate) struct ReadProgress {
+    /// The run, identified by the attempt that was sent to the backend server.
     pub(crate) run: AttemptId,
-    /// Index of the first chunk not yet acknowledged.
-    pub(crate) received: u32,
-    /// From when on the whole answer counts as acknowledged.
-    pub(crate) whole_at: UnixMs,
+    /// Index of the first chunk that is not acknowledged yet.
+    pub(crate) next_unacked_chunk: u32,
+    /// When the complete response counts as acknowledged; `NEVER` until then.
+    pub(crate) fully_acked_at: UnixMs,
 }
 
-/// The final state of an attempt.
+/// Final state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Closing {
+pub(crate) enum FinalState {
     /// Revoked or cancelled before it started.
     Tombstoned,
-    /// Cancelled; whether it was ever submitted is not known.
-    CancelledUnseen,
-    /// Refused; it did not run.
+    /// Cancelled before any submit arrived; whether it was ever submitted is not known.
+    CancelledEarly,
+    /// Refused without being run.
     Refused { reason: RefusalReason, retry_at: Option<UnixMs> },
-    /// Not run itself; its key ran, or may have run, before.
+    /// Not run, because an earlier request with its key ran or may have run.
     KeyUsed { earlier: Option<RequestId>, verdict: Verdict },
-    /// It was given to the backend server and its answer is no longer held.
+    /// Was sent to the backend server; its response is no longer retained.
     Ended { verdict: Verdict },
 }
 
 impl Attempt {
-    /// Whether it may have been given to the backend server.
+    /// Returns whether the attempt may have been sent to the backend server.
     pub(crate) fn may_have_started(&self) -> bool {
-        matches!(self.stage, Stage::Reading(_) | Stage::Closed(Closing::Ended { .. }))
+        matches!(self.stage, Stage::Reading(_) | Stage::Closed(FinalState::Ended { .. }))
     }
 }
--- a/crates/core/src/agent/constants.rs
+++ b/crates/core/src/agent/constants.rs
@@ -1,41 +1,48 @@
-//! Named bounds of an agent. All spans are in milliseconds, all sizes in bytes.
+//! Timeouts and limits of an agent.
 
-/// Greatest difference between the clocks of two processes of the system, in milliseconds.
+/// Maximum difference between the clocks of two processes of the system, in milliseconds.
 ///
-/// Wherever a moment of one process is compared with the clock of another, this much is allowed.
-/// A fleet whose clocks differ by more loses the guarantees that rest on deadlines.
+/// Every comparison of one process's timestamp with another process's clock allows for it. If
+/// clocks differ by more, the guarantees that rest on deadlines no longer hold.
 pub const CLOCK_SKEW_BOUND_MS: u64 = 2_000;
 
-/// How long an attempt goes on after its link closed, so that its entry can attach it elsewhere.
-pub const ORPHAN_MS: u64 = 15_000;
+/// How long an attempt survives the loss of its link, in milliseconds, so that its entry can
+/// reattach it on another one.
+pub const ORPHAN_TIMEOUT_MS: u64 = 15_000;
 
-/// How long an answer is kept after its end for an entry that has not acknowledged all of it.
-pub const ANSWER_RETENTION_MS: u64 = 30_000;
+/// How long a finished response is retained for an entry that has not acknowledged all of it, in
+/// milliseconds.
+pub const RESPONSE_RETENTION_MS: u64 = 30_000;
 
-/// How long an acknowledgement of all chunks that may have crossed the end marker has to stand,
-/// and how long a failure is kept for an entry that may have missed it, before a drain goes on.
+/// Delay before a drain may complete after an ambiguous acknowledgement or a failure, in
+/// milliseconds.
+///
+/// An acknowledgement of all chunks may have been sent before the end marker arrived, and an entry
+/// may have missed the message about a failure. The delay gives it time to reattach.
 pub const ACK_SETTLE_MS: u64 = 1_000;
 
-/// How long a cancelled attempt that was never seen is refused: a cancellation has no deadline.
+/// How long the submit of an attempt that was cancelled first is refused, in milliseconds. A
+/// cancellation carries no deadline from which this could be derived.
 pub const CANCEL_TOMBSTONE_MS: u64 = 60_000;
 
-/// Bytes kept of one answer. Above it the answer can no longer be attached or repeated.
-pub const RETAINED_BYTES_PER_ANSWER: u64 = 4 * 1024 * 1024;
+/// Bytes retained of one response. A larger response can be neither resumed nor replayed.
+pub const RETAINED_BYTES_PER_RESPONSE: u64 = 4 * 1024 * 1024;
 
-/// Bytes kept of all answers together.
+/// Bytes retained of all responses together.
 pub const RETAINED_BYTES_TOTAL: u64 = 64 * 1024 * 1024;
 
-/// How long an entry's demand counts after it was reported.
-pub const DEMAND_LIFE_MS: u64 = 10_000;
+/// How long an entry's demand report is counted, in milliseconds.
+pub const DEMAND_TTL_MS: u64 = 10_000;
 
-/// Time in which an accepted document is in force everywhere.
+/// Time within which an accepted document is in force at every process, in milliseconds.
 pub const ADOPTION_SPREAD_MS: u64 = 8_000;
 
-/// Horizon of a key whose route has left the document while the request ran.
+/// Horizon of a key whose route was removed from the document while its request ran, in
+/// milliseconds.
 pub(crate) const FALLBACK_KEY_HORIZON_MS: u64 = 24 * 60 * 60 * 1_000;
 
-/// Weight of the newest measurement in the smoothed service time, as a divisor.
-pub(crate) const SERVICE_SMOOTHING: u64 = 8;
+/// Divisor that gives the weight of the newest measurement in the smoothed service time.
+pub(crate) const SERVICE_SMOOTHING_DIVISOR: u64 = 8;
 
-/// Spread added to a moment at which coming back makes sense, in thousandths of the wait.
+/// Maximum jitter added to the suggested retry time, in thousandths of the wait.
 pub(crate) const RETRY_SPREAD_PERMILLE: u64 = 250;
--- a/crates/core/src/agent/core.rs
+++ b/crates/core/src/agent/core.rs
@@ -1,14 +1,14 @@
-//! The agent's core: its tables, and one event in, actions out.
+//! State of the agent and dispatch of its events.
 
 use super::attempt::{Attempt, Stage};
-use super::border::{AgentAction, AgentEvent};
-use super::constants::{CLOCK_SKEW_BOUND_MS, ORPHAN_MS};
+use super::constants::{CLOCK_SKEW_BOUND_MS, ORPHAN_TIMEOUT_MS};
 use super::counters::AgentCounters;
 use super::demand::DemandTable;
-use super::execution::{DueRun, Execution};
+use super::execution::{Execution, RetentionExpiry};
 use super::guard::StartGuard;
 use super::home_history::HomeHistory;
 use super::identity::AgentIdentity;
+use super::interface::{AgentAction, AgentEvent};
 use super::keys::KeyTable;
 use super::mechanisms::Mechanisms;
 use super::queue::{FairQueue, QueueRules};
@@ -25,10 +25,10 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::sync::Arc;
 
-/// The decisions of one agent.
+/// Decision logic of one agent.
 ///
-/// Every event is handled at once and in order; the systems that start queued work and finish a
-/// drain run after each of them, those that expire rows run at each [`AgentEvent::Tick`].
+/// Events are handled synchronously and in order. After each event, queued attempts are started and
+/// a drain is completed where possible. Expired state is removed at each [`AgentEvent::Tick`].
 #[derive(Debug)]
 pub struct AgentCore {
     pub(super) identity: AgentIdentity,
@@ -38,22 +38,22 @@
     pub(super) document: Option<Arc<Document>>,
     pub(super) links: IndexMap<LinkId, Incarnation>,
     pub(super) attempts: IndexMap<AttemptId, Attempt>,
-    /// The latest deadline of a forgotten attempt that may have started. Of an attempt with a
-    /// later deadline and no row it is certain that it never started here.
+    /// Latest deadline of a forgotten attempt that may have started. An attempt without a record
+    /// and with a later deadline has certainly never started here.
     pub(super) forgotten_through: UnixMs,
     pub(super) queue: FairQueue,
     pub(super) executions: IndexMap<AttemptId, Execution>,
-    /// Ended runs by the moment at which nothing of them is held any more; earlier moments of runs
-    /// whose retention was extended may stand here too.
-    pub(super) due_runs: BinaryHeap<Reverse<DueRun>>,
+    /// Finished runs by the time at which their responses are dropped. A run whose retention was
+    /// extended may also be listed with its earlier time.
+    pub(super) retention_expiries: BinaryHeap<Reverse<RetentionExpiry>>,
     pub(super) running: IndexSet<AttemptId>,
     pub(super) retained_bytes: u64,
-    /// Ended runs whose answers are held for repeats of their key, oldest first.
+    /// Finished runs whose responses are retained for repeats of their key, oldest first.
     pub(super) replayable: VecDeque<AttemptId>,
     pub(super) keys: KeyTable,
     pub(super) homes: HomeHistory,
-    /// Other documents that peers hold under the revision in force here.
-    rivals: Vec<Arc<Document>>,
+    /// Different documents that peers use under the revision in force here.
+    conflicting_documents: Vec<Arc<Document>>,
     pub(super) guard: StartGuard,
     pub(super) demand: DemandTable,
     pub(super) service: ServiceTime,
@@ -63,13 +63,13 @@
 }
 
 impl AgentCore {
-    /// An agent that has adopted nothing yet. `seed` feeds every random choice.
+    /// Creates an agent without a document. `seed` determines every random choice.
     #[must_use]
     pub fn new(identity: AgentIdentity, seed: u64) -> Self {
         Self::with_mechanisms(identity, seed, Mechanisms::default())
     }
 
-    /// An agent without some mechanisms, for tests that show what each one prevents.
+    /// Creates an agent with some mechanisms disabled, for tests that show what each one prevents.
     #[doc(hidden)]
     #[must_use]
     pub fn with_mechanisms(identity: AgentIdentity, seed: u64, mechanisms: Mechanisms) -> Self {
@@ -85,13 +85,13 @@
             random: ChaCha8Rng::seed_from_u64(seed),
             stamp: Stamp::NONE,
             document: None,
-            rivals: Vec::new(),
+            conflicting_documents: Vec::new(),
             links: IndexMap::new(),
             attempts: IndexMap::new(),
             forgotten_through: UnixMs::default(),
             queue: FairQueue::new(rules),
             executions: IndexMap::new(),
-            due_runs: BinaryHeap::new(),
+            retention_expiries: BinaryHeap::new(),
             running: IndexSet::new(),
             retained_bytes: 0,
             replayable: VecDeque::new(),
@@ -105,15 +105,15 @@
         }
     }
 
-    /// Handles one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Now, event: AgentEvent, actions: &mut Vec<AgentAction>) {
         match event {
             AgentEvent::Tick => self.sweep(now, actions),
             AgentEvent::Adopted { stamp, document } => self.adopt(now, stamp, document, actions),
-            AgentEvent::ConflictingDocument { document } => self.note_rival(now, document),
+            AgentEvent::ConflictingDocument { document } => self.record_conflict(now, document),
             AgentEvent::LinkOpened { link, entry } => self.open_link(link, entry, actions),
             AgentEvent::LinkClosed { link } => self.close_link(now, link),
-            AgentEvent::Message { link, message } => self.message(now, link, message, actions),
+            AgentEvent::Message { link, message } => self.dispatch(now, link, message, actions),
             AgentEvent::BackendHead { attempt, head } => {
                 self.backend_head(attempt, head, actions);
             }
@@ -131,7 +131,7 @@
         self.finish_drain(now, actions);
     }
 
-    /// What has been counted since the start of the process.
+    /// Returns the event counters since the start of the process.
     #[must_use]
     pub fn counters(&self) -> &AgentCounters {
         &self.counters
@@ -146,37 +146,36 @@
     ) {
         match &self.document {
             Some(before) if self.mechanisms.key_home_changes => {
-                self.homes.change(now, before, &document);
+                self.homes.on_change(now, before, &document);
             }
-            None if self.mechanisms.unknown_keys_after_start => self.homes.begin(now, &document),
+            None if self.mechanisms.unknown_keys_after_start => self.homes.on_start(now, &document),
             _ => {}
         }
-        for rival in std::mem::take(&mut self.rivals) {
-            self.homes.change(now, &rival, &document);
+        for conflicting in std::mem::take(&mut self.conflicting_documents) {
+            self.homes.on_change(now, &conflicting, &document);
         }
-        self.queue.adopt(&document);
+        self.queue.apply_document(&document);
         self.stamp = stamp;
         self.document = Some(document);
         if self.backend().is_none() {
-            self.hand_back_all(now, RefusalReason::UnknownRoute, actions);
+            self.refuse_all_queued(now, RefusalReason::UnknownRoute, actions);
         }
     }
 
-    /// Notes that other agents are homes of keys by another document of the same revision.
+    /// Records that peers use a different document under the revision in force here.
     ///
-    /// Without this, an agent that started on one content of a revision would take itself for the
-    /// only home that its keys ever had, while an agent on the other content runs them too. One
-    /// would see one key run twice, on a fleet whose revisions look the same. Keys whose home the
-    /// two contents give to different agents are unknown, now and after the next document.
-    fn note_rival(&mut self, now: Now, rival: Arc<Document>) {
+    /// Under that document, other agents are the homes of some of this agent's keys and may run
+    /// them, so one key could run twice although all processes report the same revision. Keys whose
+    /// home differs between the two documents count as unknown, now and after the next document.
+    fn record_conflict(&mut self, now: Now, conflicting: Arc<Document>) {
         let Some(document) =
             self.document.as_ref().filter(|_| self.mechanisms.conflicting_documents)
         else {
             return;
         };
-        self.homes.change(now, &rival, document);
-        if !self.rivals.contains(&rival) {
-            self.rivals.push(rival);
+        self.homes.on_change(now, &conflicting, document);
+        if !self.conflicting_documents.contains(&conflicting) {
+            self.conflicting_documents.push(conflicting);
         }
     }
 
@@ -191,17 +190,17 @@
         self.links.shift_remove(&link);
         for attempt in self.attempts.values_mut().filter(|row| row.link == Some(link)) {
             attempt.link = None;
-            attempt.orphan_at = now.after(ORPHAN_MS);
+            attempt.orphan_at = now.after(ORPHAN_TIMEOUT_MS);
         }
     }
 
-    /// Whether an attempt without a row certainly never started here.
+    /// Returns whether an attempt without a record certainly never started here.
     pub(super) fn never_started(&self, deadline: UnixMs) -> bool {
         !self.mechanisms.forgotten_watermark || deadline > self.forgotten_through
     }
 
-    /// Adds a row for an attempt.
-    pub(super) fn record(
+    /// Adds the record of an attempt.
+    pub(super) fn insert_attempt(
         &mut self,
         attempt: AttemptId,
         link: Option<LinkId>,
--- a/crates/core/src/agent/counters.rs
+++ b/crates/core/src/agent/counters.rs
@@ -1,13 +1,13 @@
-//! What an agent counts.
+//! Event counters of an agent.
 
 use crate::message::RefusalReason;
 
-/// One counter with its name, for export.
+/// A counter and its name, for export as a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CounterRow {
     /// Name in snake case, without a prefix.
     pub name: &'static str,
-    /// Events since the start of the process.
+    /// Number of events since the start of the process.
     pub value: u64,
 }
 
@@ -20,7 +20,7 @@
         }
 
         impl $name {
-            /// All counters by name, in a fixed order.
+            /// Returns all counters with their names, in a fixed order.
             #[must_use]
             pub fn rows(&self) -> Vec<CounterRow> {
                 vec![$(CounterRow { name: stringify!($field), value: self.$field },)+]
@@ -30,15 +30,15 @@
 }
 
 counters!(
-    /// Events of an agent since the start of its process.
+    /// Event counts of an agent since the start of its process.
     AgentCounters {
-        /// Submits, copies included.
+        /// Submits received, duplicates included.
         submits,
-        /// Attempts taken into the queue or attached to an earlier run of their key.
+        /// Attempts queued, or answered from an earlier run of their key.
         accepted,
-        /// Requests given to the backend server.
+        /// Requests sent to the backend server.
         started,
-        /// Answers that came whole.
+        /// Runs that ended with a complete response.
         ended,
         /// Runs that failed.
         failed,
@@ -50,7 +50,7 @@
         refused_expired,
         /// Refused because the attempt had been revoked.
         refused_revoked,
-        /// Refused because another incarnation was meant.
+        /// Refused because they were addressed to another incarnation.
         refused_wrong_incarnation,
         /// Refused because another agent is the home of the key.
         refused_not_key_home,
@@ -60,43 +60,44 @@
         refused_unknown_route,
         /// Refused because the key was used for another request.
         refused_key_conflict,
-        /// Refused because the key's moment of creation lies ahead.
+        /// Refused because the key's creation time lies in the future.
         refused_key_not_yet_valid,
-        /// Second copies of a submit.
+        /// Duplicate submits.
         doubled_submits,
-        /// Messages about attempts that are not known, or no longer.
+        /// Messages about attempts that are unknown or already forgotten.
         late_messages,
         /// Messages about attempts of another entry, or on a link that is not open.
         foreign_messages,
         /// Backend events for runs that are not known or have ended.
         late_backend_events,
-        /// Queued attempts that gave their place to another.
+        /// Queued attempts evicted in favour of another one.
         evicted,
-        /// Queued attempts whose deadline passed.
+        /// Attempts whose deadline passed in the queue.
         expired_queued,
-        /// Attempts that were revoked before they started.
+        /// Attempts revoked before they started.
         tombstoned,
-        /// Revocations that came after the start.
+        /// Revocations that arrived after the start.
         revoked_started,
         /// Cancelled attempts.
         cancelled,
-        /// Runs aborted because no entry came back for them.
+        /// Runs aborted because no entry reattached to them.
         orphans_aborted,
-        /// Attempts that were answered by an earlier run of their key.
+        /// Attempts answered from an earlier run of their key.
         key_replays,
-        /// Attempts refused because an earlier run of their key cannot be repeated.
+        /// Attempts not run because their key was used, or may have been, and no response can be
+        /// replayed.
         key_used,
-        /// Attempts refused because it is unknown whether their key ran elsewhere.
+        /// Attempts not run because their key may have run at another agent or incarnation.
         key_unknown,
-        /// Answers of which chunks were given up for lack of room.
+        /// Responses whose chunks were discarded because of a memory limit.
         answers_not_retained,
-        /// Invariants that did not hold.
+        /// Invariant violations.
         violations,
     }
 );
 
 impl AgentCounters {
-    pub(crate) fn refused(&mut self, reason: RefusalReason) {
+    pub(crate) fn count_refusal(&mut self, reason: RefusalReason) {
         let counter = match reason {
             RefusalReason::QueueFull => &mut self.refused_queue_full,
             RefusalReason::Leaving => &mut self.refused_leaving,
--- a/crates/core/src/agent/drain.rs
+++ b/crates/core/src/agent/drain.rs
@@ -1,7 +1,7 @@
-//! Graceful stop of an agent.
+//! Graceful shutdown of an agent.
 
-use super::border::AgentAction;
 use super::core::AgentCore;
+use super::interface::AgentAction;
 use super::snapshot::DrainState;
 use crate::audit::Change;
 use crate::ids::AttemptId;
@@ -9,7 +9,7 @@
 use crate::time::Now;
 
 impl AgentCore {
-    /// Takes nothing new from now on and hands back what is queued.
+    /// Starts the drain: announces it on all links and refuses all queued attempts.
     pub(super) fn begin_drain(&mut self, now: Now, actions: &mut Vec<AgentAction>) {
         if self.drain != DrainState::Serving {
             return;
@@ -20,11 +20,11 @@
             actions.push(AgentAction::Send { link: *link, message: ToEntry::Leaving });
         }
         if self.mechanisms.refuse_queued_on_drain {
-            self.hand_back_all(now, RefusalReason::Leaving, actions);
+            self.refuse_all_queued(now, RefusalReason::Leaving, actions);
         }
     }
 
-    /// Reports once that nothing is left: no run, and no answer that an entry may still fetch.
+    /// Completes the drain once nothing runs and no entry may still fetch a response.
     pub(super) fn finish_drain(&mut self, now: Now, actions: &mut Vec<AgentAction>) {
         if self.drain != DrainState::Draining || !self.running.is_empty() {
             return;
--- a/crates/core/src/agent/execution.rs
+++ b/crates/core/src/agent/execution.rs
@@ -1,49 +1,52 @@
-//! One row of the table of runs: a request that was given to the backend server.
+//! State of a run: a request that was sent to the backend server.
 
-use super::answer::Answer;
+use super::response_buffer::ResponseBuffer;
 use crate::ids::AttemptId;
 use crate::message::KeyDigest;
 use crate::time::UnixMs;
 use crate::verdict::Verdict;
 use hickorycross_config::{RouteId, TeamId};
 
-/// A run with as much of its answer as is held.
+/// A run and the retained part of its response.
 #[derive(Debug)]
 pub(crate) struct Execution {
-    /// Attempts that read the answer; one unless an idempotency key was repeated.
+    /// Attempts that receive the response; more than one only if the idempotency key was repeated.
     pub(crate) readers: Vec<AttemptId>,
     /// The caller's idempotency key.
     pub(crate) key: Option<KeyDigest>,
-    /// The route, for the key's horizon.
+    /// The route, which defines the key's horizon.
     pub(crate) route: RouteId,
-    /// The team that pays.
+    /// The team that is charged for the slot time.
     pub(crate) team: TeamId,
-    /// Rank of its tier at the start.
+    /// Rank of the tier at the start.
     pub(crate) rank: u8,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub(crate) idempotent: bool,
-    /// When it was given to the backend server.
+    /// When the request was sent to the backend server.
     pub(crate) started: UnixMs,
-    /// Slot time that its team was charged at the start.
+    /// Slot time charged to the team at the start.
     pub(crate) charged_ms: u64,
-    /// The answer so far.
-    pub(crate) answer: Answer,
-    /// Whether chunks stay held for repeats of the key after all readers acknowledged them.
+    /// The response so far.
+    pub(crate) response: ResponseBuffer,
+    /// Whether chunks are retained for repeats of the key after all readers acknowledged them.
     pub(crate) replayable: bool,
-    /// Set once an abort was asked for.
+    /// Set once an abort was requested.
     pub(crate) aborting: bool,
-    /// How it ended.
+    /// How the run ended; none while it is running.
     pub(crate) outcome: Option<Outcome>,
-    /// From when on a drain no longer waits for readers; never passes while it runs.
-    pub(crate) settle_by: UnixMs,
-    /// From when on nothing of it is held; never passes while it runs.
+    /// Until when readers may fetch the response before a drain stops waiting for them; `NEVER`
+    /// while it is running.
+    pub(crate) fetch_until: UnixMs,
+    /// When the response is dropped; `NEVER` while it is running.
     pub(crate) retain_until: UnixMs,
 }
 
-/// When an ended run is to be looked at by the sweep. Thousands may be held for repeats of their
-/// keys, so the sweep goes by this order and touches only what is due.
+/// When the retention of a finished run expires.
+///
+/// Thousands of runs may be retained for repeats of their keys. Ordering them by expiry lets the
+/// sweep visit only those that are due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct DueRun {
+pub(crate) struct RetentionExpiry {
     pub(crate) retain_until: UnixMs,
     pub(crate) run: AttemptId,
 }
@@ -51,25 +54,25 @@
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// With a whole answer.
-    Whole,
-    /// Without one.
+    /// With a complete response.
+    Complete,
+    /// Without a complete response.
     Failed { verdict: Verdict, detail: String },
 }
 
 impl Execution {
-    /// What is known of the execution once the answer is no longer held.
+    /// Returns what is known of the run without its response.
     pub(crate) fn verdict(&self) -> Verdict {
         match &self.outcome {
             Some(Outcome::Failed { verdict, .. }) => *verdict,
-            Some(Outcome::Whole) => Verdict::Ran,
+            Some(Outcome::Complete) => Verdict::Ran,
             None => Verdict::MayHaveRun,
         }
     }
 
-    /// Whether the answer can be given to another attempt from its first chunk on.
-    pub(crate) fn can_repeat(&self) -> bool {
+    /// Returns whether another attempt can receive the response from its first chunk on.
+    pub(crate) fn can_replay(&self) -> bool {
         let failed = matches!(self.outcome, Some(Outcome::Failed { .. }));
-        !failed && !self.aborting && self.answer.holds_from(0)
+        !failed && !self.aborting && self.response.retains_from(0)
     }
 }
--- a/crates/core/src/agent/guard.rs
+++ b/crates/core/src/agent/guard.rs
@@ -1,26 +1,27 @@
-//! Invariants of a start, asserted right before it from records of their own.
+//! Independent check of the invariants right before an attempt starts.
 //!
-//! The records stand apart from the tables that the decisions use, so that a fault in those tables
-//! is found here. A start that breaks an invariant is not carried out.
+//! The guard keeps its own records, separate from the tables on which decisions are based, so that
+//! it detects errors in those tables. A start that would violate an invariant is not carried out.
 
 use super::constants::CLOCK_SKEW_BOUND_MS;
 use crate::ids::AttemptId;
 use crate::time::{Now, UnixMs};
 use indexmap::IndexMap;
 
-/// What is known of a start that is about to happen.
+/// A start that is about to happen.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Starting {
+pub(crate) struct PendingStart {
     pub(crate) attempt: AttemptId,
     pub(crate) deadline: UnixMs,
     pub(crate) running: u32,
     pub(crate) slots: u32,
     pub(crate) draining: bool,
-    /// The key is non-idempotent and has a run that may have reached the backend server.
+    /// The request is non-idempotent and an earlier run of its key may have reached the backend
+    /// server.
     pub(crate) key_used: bool,
 }
 
-/// An invariant that a start would break.
+/// An invariant that a start would violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum Violation {
     #[error("attempt would start twice")]
@@ -37,7 +38,7 @@
     KeyUsed,
 }
 
-/// Started and tombstoned attempts until their deadline has safely passed.
+/// Started and tombstoned attempts, kept past their deadline by the clock skew bound.
 #[derive(Debug, Default)]
 pub(crate) struct StartGuard {
     started: IndexMap<AttemptId, UnixMs>,
@@ -45,14 +46,14 @@
 }
 
 impl StartGuard {
-    pub(crate) fn check(&self, now: Now, starting: &Starting) -> Result<(), Violation> {
+    pub(crate) fn check(&self, now: Now, pending: &PendingStart) -> Result<(), Violation> {
         let faults = [
-            (self.started.contains_key(&starting.attempt), Violation::StartedBefore),
-            (self.tombstoned.contains_key(&starting.attempt), Violation::Tombstoned),
-            (starting.deadline.is_past(now), Violation::Expired),
-            (starting.running >= starting.slots, Violation::NoSlot),
-            (starting.draining, Violation::Draining),
-            (starting.key_used, Violation::KeyUsed),
+            (self.started.contains_key(&pending.attempt), Violation::StartedBefore),
+            (self.tombstoned.contains_key(&pending.attempt), Violation::Tombstoned),
+            (pending.deadline.is_past(now), Violation::Expired),
+            (pending.running >= pending.slots, Violation::NoSlot),
+            (pending.draining, Violation::Draining),
+            (pending.key_used, Violation::KeyUsed),
         ];
         match faults.into_iter().find(|(broken, _)| *broken) {
             Some((_, violation)) => Err(violation),
@@ -60,11 +61,11 @@
         }
     }
 
-    pub(crate) fn note_started(&mut self, attempt: AttemptId, deadline: UnixMs) {
+    pub(crate) fn record_started(&mut self, attempt: AttemptId, deadline: UnixMs) {
         self.started.insert(attempt, deadline.after(CLOCK_SKEW_BOUND_MS));
     }
 
-    pub(crate) fn note_tombstoned(&mut self, attempt: AttemptId, deadline: UnixMs) {
+    pub(crate) fn record_tombstoned(&mut self, attempt: AttemptId, deadline: UnixMs) {
         self.tombstoned.insert(attempt, deadline.after(CLOCK_SKEW_BOUND_MS));
     }
 
--- a/crates/core/src/agent/identity.rs
+++ b/crates/core/src/agent/identity.rs
@@ -1,13 +1,13 @@
-//! Who an agent is.
+//! Identity of an agent.
 
 use crate::ids::Incarnation;
 use hickorycross_config::BackendServerId;
 
-/// What an agent knows of itself from its settings and its start.
+/// Identity of an agent process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentIdentity {
-    /// Drawn at random at the start of the process.
+    /// Drawn at random when the process starts.
     pub incarnation: Incarnation,
-    /// The backend server of the document that it stands beside.
+    /// The backend server, as named in the document, that this agent runs beside.
     pub backend_server: BackendServerId,
 }
--- a/crates/core/src/agent/border.rs
+++ b/crates/core/src/agent/interface.rs
@@ -1,4 +1,4 @@
-//! Events into an agent's core and actions out of it.
+//! Input events and output actions of [`AgentCore`](super::AgentCore).
 
 use crate::audit::AuditRecord;
 use crate::ids::{AttemptId, Incarnation, LinkId};
@@ -9,91 +9,92 @@
 use hickorycross_config::{Document, Stamp};
 use std::sync::Arc;
 
-/// What happens to an agent.
+/// An input to the agent's decision logic.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentEvent {
-    /// Time has passed; sent several times a second.
+    /// Periodic timer, sent several times a second.
     Tick,
-    /// Another document is in force. The adoption order has been checked already.
+    /// A new configuration document is in force. The caller has already checked that it may replace
+    /// the previous one.
     Adopted {
-        /// Its stamp.
+        /// Revision and digest of the document.
         stamp: Stamp,
-        /// Its content.
+        /// The document.
         document: Arc<Document>,
     },
-    /// A peer holds this document under the revision that is in force here; repeated every few
-    /// seconds while it does.
+    /// A peer uses a different document under the revision that is in force here. Repeated every
+    /// few seconds while that lasts.
     ConflictingDocument {
-        /// What the peer holds.
+        /// The document that the peer uses.
         document: Arc<Document>,
     },
     /// An entry opened a link.
     LinkOpened {
         /// The link.
         link: LinkId,
-        /// The entry's incarnation.
+        /// Incarnation of the entry.
         entry: Incarnation,
     },
-    /// A link has ended.
+    /// A link was closed or lost.
     LinkClosed {
         /// The link.
         link: LinkId,
     },
-    /// A message came.
+    /// A message from an entry arrived.
     Message {
-        /// The link on which it came.
+        /// The link on which it arrived.
         link: LinkId,
         /// The message.
         message: ToAgent,
     },
-    /// The backend server's answer begins.
+    /// The backend server sent the head of its response.
     BackendHead {
         /// The attempt that it answers.
         attempt: AttemptId,
         /// Status and headers.
         head: ResponseHead,
     },
-    /// A piece of the backend server's answer.
+    /// The backend server sent a chunk of its response body.
     BackendChunk {
         /// The attempt that it answers.
         attempt: AttemptId,
         /// The bytes.
         bytes: Bytes,
     },
-    /// The backend server's answer is whole.
+    /// The backend server's response is complete.
     BackendEnd {
         /// The attempt that it answers.
         attempt: AttemptId,
     },
-    /// The backend server's answer failed.
+    /// The request to the backend server failed.
     BackendFailed {
         /// The attempt.
         attempt: AttemptId,
-        /// `NotRun` only when not a byte of the request can have reached the backend server.
+        /// `NotRun` only when no byte of the request can have reached the backend server.
         verdict: Verdict,
-        /// For people.
+        /// Human-readable cause.
         detail: String,
     },
     /// Result of the latest health check of the backend server.
     BackendHealth {
-        /// Whether it answered.
+        /// Whether the check succeeded.
         healthy: bool,
     },
-    /// The process is to stop: take nothing new, hand back what is queued, finish what runs.
+    /// Shut down gracefully: refuse new and queued attempts, finish running ones.
     Drain,
 }
 
-/// What an agent's core wants done.
+/// An output of the agent's decision logic, to be carried out by the program.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentAction {
-    /// Send a message.
+    /// Send a message to an entry.
     Send {
         /// The link.
         link: LinkId,
         /// The message.
         message: ToEntry,
     },
-    /// Give a request to the backend server, now.
+    /// Send a request to the backend server immediately.
     Start {
         /// The attempt.
         attempt: AttemptId,
@@ -101,19 +102,19 @@
         head: RequestHead,
         /// The body.
         body: Bytes,
-        /// The program checks it once more right before the first byte is sent.
+        /// Checked again by the program right before the first byte is sent.
         deadline: UnixMs,
-        /// Priority for engines that honour one: rank of the tier, 0 first.
+        /// Priority for engines that support it: the rank of the tier, 0 being the highest.
         priority: u8,
     },
-    /// Cancel a request at the backend server. Its slot stays taken until the program reports
+    /// Cancel a request at the backend server. Its slot stays occupied until the program reports
     /// [`AgentEvent::BackendFailed`] or [`AgentEvent::BackendEnd`].
     Abort {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Write to the audit trail.
+    /// Write a record to the audit trail.
     Audit(AuditRecord),
-    /// Nothing is left to finish after [`AgentEvent::Drain`].
+    /// The drain begun by [`AgentEvent::Drain`] is complete; the process may exit.
     Drained,
 }
--- a/crates/core/src/agent/key_home.rs
+++ b/crates/core/src/agent/key_home.rs
@@ -1,12 +1,13 @@
-//! Which backend server remembers an idempotency key.
+//! Selects the backend server that remembers an idempotency key.
 
 use crate::message::KeyDigest;
 use hickorycross_config::{BackendServerId, Document, Route};
 
-/// The home of a key: the backend server of the route with the highest weight for that key.
+/// Returns the home of a key: the backend server of the route whose agent remembers the key.
 ///
-/// Every process on one revision of the document finds the same home, whatever it believes of the
-/// instances. None when the document names no backend server for the route.
+/// The home is chosen by rendezvous hashing over the document alone, so all processes on the same
+/// revision agree on it, regardless of which instances they consider alive. None when the document
+/// names no backend server for the route.
 #[must_use]
 pub fn key_home<'a>(
     document: &'a Document,
--- a/crates/core/src/agent/keys.rs
+++ b/crates/core/src/agent/keys.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys whose request was given to the backend server.
+//! Idempotency keys whose request was sent to the backend server.
 
 use crate::ids::AttemptId;
 use crate::message::KeyDigest;
@@ -8,49 +8,49 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// One used key.
+/// Record of a used key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct KeyRow {
-    /// The attempt that was given to the backend server.
+pub(crate) struct KeyRecord {
+    /// The run, identified by the attempt that was sent to the backend server.
     pub(crate) run: AttemptId,
-    /// Digest of the request, so that the key is refused for another one.
+    /// Digest of the request, to refuse the key for a different one.
     pub(crate) content: u64,
-    /// What is known of the run without its answer.
+    /// What is known of the run without its response.
     pub(crate) verdict: Verdict,
-    /// The key's horizon; never passes while the run goes on.
+    /// End of the key's horizon; `NEVER` while the request is running.
     pub(crate) forget_at: UnixMs,
 }
 
 /// The used keys by digest.
 ///
-/// There may be millions at a long horizon, so their expiry is ordered: a sweep touches only what
-/// is due.
+/// With a long horizon there may be millions. Ordering them by expiry lets a sweep visit only those
+/// that are due.
 #[derive(Debug, Default)]
 pub(crate) struct KeyTable {
-    rows: IndexMap<KeyDigest, KeyRow>,
-    due: BinaryHeap<Reverse<Due>>,
+    rows: IndexMap<KeyDigest, KeyRecord>,
+    due: BinaryHeap<Reverse<KeyExpiry>>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Due {
+struct KeyExpiry {
     forget_at: UnixMs,
     key: KeyDigest,
 }
 
 impl KeyTable {
-    /// The use of a key whose horizon has not passed.
-    pub(crate) fn get(&self, now: Now, key: KeyDigest) -> Option<&KeyRow> {
+    /// Returns the record of a used key, unless its horizon has passed.
+    pub(crate) fn get(&self, now: Now, key: KeyDigest) -> Option<&KeyRecord> {
         self.rows.get(&key).filter(|row| !row.forget_at.is_past(now))
     }
 
-    /// Notes that the request of a key goes to the backend server.
-    pub(crate) fn start(&mut self, key: KeyDigest, run: AttemptId, content: u64) {
+    /// Records that the request of a key is being sent to the backend server.
+    pub(crate) fn record_start(&mut self, key: KeyDigest, run: AttemptId, content: u64) {
         let verdict = Verdict::MayHaveRun;
-        self.rows.insert(key, KeyRow { run, content, verdict, forget_at: UnixMs::NEVER });
+        self.rows.insert(key, KeyRecord { run, content, verdict, forget_at: UnixMs::NEVER });
     }
 
-    /// Notes how the run of a key ended. One that did not run leaves the key unused.
-    pub(crate) fn end(
+    /// Records how the run of a key ended. With `NotRun` the key becomes unused again.
+    pub(crate) fn record_end(
         &mut self,
         key: KeyDigest,
         run: AttemptId,
@@ -64,10 +64,10 @@
         }
         row.verdict = verdict;
         row.forget_at = forget_at;
-        self.due.push(Reverse(Due { forget_at, key }));
+        self.due.push(Reverse(KeyExpiry { forget_at, key }));
     }
 
-    /// Forgets keys whose horizon has passed.
+    /// Removes keys whose horizon has passed.
     pub(crate) fn sweep(&mut self, now: Now) {
         while let Some(Reverse(due)) = self.due.peek().copied() {
             if !due.forget_at.is_past(now) {
--- a/crates/core/src/agent/load.rs
+++ b/crates/core/src/agent/load.rs
@@ -1,4 +1,4 @@
-//! What an agent reports of its load and state.
+//! Load and state that an agent reports.
 
 use super::core::AgentCore;
 use super::snapshot::{AgentSnapshot, DrainState, UnknownKeys};
@@ -7,7 +7,7 @@
 use hickorycross_config::BackendServer;
 
 impl AgentCore {
-    /// The state at this moment, for status views.
+    /// Returns the current state, for status views.
     #[must_use]
     pub fn snapshot(&self, now: Now) -> AgentSnapshot {
         let routes = self.document.iter().flat_map(|document| &document.routes);
@@ -28,7 +28,8 @@
         }
     }
 
-    /// The backend server's entry in the document.
+    /// Returns this agent's backend server as described in the document; none without a document or
+    /// when the document does not name it.
     pub(super) fn backend(&self) -> Option<&BackendServer> {
         self.document.as_ref()?.backend(self.identity.backend_server.as_str())
     }
@@ -41,14 +42,14 @@
         self.slots().saturating_sub(self.running.len() as u32)
     }
 
-    /// Load at this moment.
+    /// Returns the current load.
     pub(super) fn load(&self, now: Now) -> Load {
         Load {
             sampled: now.unix_ms,
             state: self.state(),
             running: self.running.len() as u32,
             slots: self.slots(),
-            waiting: self.queue.by_rank(),
+            waiting: self.queue.waiting_by_rank(),
             service_ms: self.service.smoothed_ms(),
         }
     }
--- a/crates/core/src/agent/messages.rs
+++ b/crates/core/src/agent/messages.rs
@@ -1,13 +1,13 @@
-//! Messages of entries, judged by whose attempt they name.
+//! Dispatch of messages from entries.
 
-use super::border::AgentAction;
 use super::core::AgentCore;
+use super::interface::AgentAction;
 use crate::ids::{AttemptId, Incarnation, LinkId};
 use crate::message::{TeamDemand, ToAgent, ToEntry};
 use crate::time::Now;
 
 impl AgentCore {
-    pub(super) fn message(
+    pub(super) fn dispatch(
         &mut self,
         now: Now,
         link: LinkId,
@@ -18,32 +18,32 @@
             self.counters.foreign_messages += 1;
             return;
         };
-        if self.mechanisms.owner_check && is_foreign(entry, &message) {
+        if self.mechanisms.owner_check && names_foreign_attempt(entry, &message) {
             self.counters.foreign_messages += 1;
             return;
         }
         match message {
-            ToAgent::Submit(submit) => self.submit(now, link, *submit, actions),
+            ToAgent::Submit(submit) => self.handle_submit(now, link, *submit, actions),
             ToAgent::Attach { attempt, agent, next_chunk } => {
-                self.attach(now, link, attempt, agent, next_chunk, actions);
+                self.handle_attach(now, link, attempt, agent, next_chunk, actions);
             }
             ToAgent::Revoke { attempt, agent, deadline, next_chunk } => {
-                let revoke = super::recover::Revocation { attempt, agent, deadline, next_chunk };
-                self.revoke(now, link, revoke, actions);
+                let revoke = super::recovery::Revocation { attempt, agent, deadline, next_chunk };
+                self.handle_revoke(now, link, revoke, actions);
             }
-            ToAgent::Cancel { attempt } => self.cancel(now, attempt, actions),
-            ToAgent::Received { attempt, next_chunk } => self.received(now, attempt, next_chunk),
-            ToAgent::Heartbeat { nonce, .. } => self.heartbeat(now, link, nonce, actions),
-            ToAgent::Demand(demands) => self.sum_demand(now, link, entry, &demands, actions),
+            ToAgent::Cancel { attempt } => self.handle_cancel(now, attempt, actions),
+            ToAgent::Received { attempt, next_chunk } => self.acknowledge(now, attempt, next_chunk),
+            ToAgent::Heartbeat { nonce, .. } => self.handle_heartbeat(now, link, nonce, actions),
+            ToAgent::Demand(demands) => self.handle_demand(now, link, entry, &demands, actions),
         }
     }
 
-    fn heartbeat(&self, now: Now, link: LinkId, nonce: u64, actions: &mut Vec<AgentAction>) {
+    fn handle_heartbeat(&self, now: Now, link: LinkId, nonce: u64, actions: &mut Vec<AgentAction>) {
         let message = ToEntry::HeartbeatAck { nonce, stamp: self.stamp, load: self.load(now) };
         actions.push(AgentAction::Send { link, message });
     }
 
-    fn sum_demand(
+    fn handle_demand(
         &mut self,
         now: Now,
         link: LinkId,
@@ -51,15 +51,16 @@
         demands: &[TeamDemand],
         actions: &mut Vec<AgentAction>,
     ) {
-        self.demand.report(now, entry, demands);
+        self.demand.record(now, entry, demands);
         let message = ToEntry::Totals(self.demand.totals(now, demands));
         actions.push(AgentAction::Send { link, message });
     }
 }
 
-/// Whether a message names an attempt of another entry than the one at the end of the link. Such a
-/// message could cancel a stranger's attempt or draw its answer to itself.
-fn is_foreign(entry: Incarnation, message: &ToAgent) -> bool {
+/// Returns whether a message names an attempt of an entry other than the one on this link.
+///
+/// Such a message could cancel another entry's attempt or divert its response.
+fn names_foreign_attempt(entry: Incarnation, message: &ToAgent) -> bool {
     attempt_of(message).is_some_and(|attempt| attempt.request.entry != entry)
 }
 
--- a/crates/core/src/agent/mod.rs
+++ b/crates/core/src/agent/mod.rs
@@ -1,10 +1,21 @@
-//! The decisions of an agent: queue, execution, revocation, idempotency keys, drain.
+//! Decision logic of an agent, the process beside a backend server.
 //!
-//! [`AgentCore`] holds tables of attempts, runs and keys; its systems live in modules of their own.
+//! An agent receives attempts (single deliveries of a request) from entries. It queues them, starts
+//! them on its backend server while slots are free, streams the responses back, and buffers recent
+//! chunks so that an entry that lost its link can resume. It also remembers idempotency keys, so
+//! that a repeated request is answered from its first run.
+//!
+//! [`AgentCore`] owns all state and turns each [`AgentEvent`] into [`AgentAction`]s. Its methods
+//! are spread over the submodules by topic:
+//!
+//! - `submit`, `messages` and `recovery` handle messages from entries;
+//! - `queue` and `start` order queued attempts and start them;
+//! - `run_events`, `response_buffer` and `retention` handle the response of a run;
+//! - `keys`, `key_decision` and `home_history` decide what an idempotency key permits;
+//! - `sweep` and `drain` expire state and stop the agent;
+//! - `guard` checks the invariants of a start independently of the tables above.
 
-mod answer;
 mod attempt;
-mod border;
 mod constants;
 mod core;
 mod counters;
@@ -14,15 +25,17 @@
 mod guard;
 mod home_history;
 mod identity;
+mod interface;
+mod key_decision;
 mod key_home;
-mod key_judgement;
 mod keys;
 mod load;
 mod mechanisms;
 mod messages;
 mod queue;
-mod recover;
+mod recovery;
 mod replies;
+mod response_buffer;
 mod retention;
 mod run_events;
 mod service_time;
@@ -32,14 +45,13 @@
 mod sweep;
 
 pub use self::core::AgentCore;
-pub use border::{AgentAction, AgentEvent};
 pub use constants::{
-    ACK_SETTLE_MS, ADOPTION_SPREAD_MS, ANSWER_RETENTION_MS, CANCEL_TOMBSTONE_MS,
-    CLOCK_SKEW_BOUND_MS, DEMAND_LIFE_MS, ORPHAN_MS, RETAINED_BYTES_PER_ANSWER,
-    RETAINED_BYTES_TOTAL,
+    ACK_SETTLE_MS, ADOPTION_SPREAD_MS, CANCEL_TOMBSTONE_MS, CLOCK_SKEW_BOUND_MS, DEMAND_TTL_MS,
+    ORPHAN_TIMEOUT_MS, RESPONSE_RETENTION_MS, RETAINED_BYTES_PER_RESPONSE, RETAINED_BYTES_TOTAL,
 };
 pub use counters::{AgentCounters, CounterRow};
 pub use identity::AgentIdentity;
+pub use interface::{AgentAction, AgentEvent};
 pub use key_home::key_home;
 pub use mechanisms::Mechanisms;
 pub use snapshot::{AgentSnapshot, DrainState, UnknownKeys};
--- a/crates/core/src/agent/queue.rs
+++ b/crates/core/src/agent/queue.rs
@@ -1,12 +1,12 @@
-//! Order of the attempts that wait for a slot.
+//! Fair queue of the attempts that wait for a slot.
 //!
-//! By rank of the tier; within a tier the team that has had the least slot time goes first; within
-//! a team the earliest deadline. Tiers with a floor get their share of the starts and of the
-//! places even while higher tiers would fill all of them.
+//! Attempts are ordered by the rank of their tier, then by the slot time charged to their team
+//! (least first), then by deadline (earliest first). A tier with a floor gets that share of the
+//! starts and of the queue's capacity even when higher tiers could use all of it.
 //!
-//! A plain order by deadline would let a team that sends a hundred times more than its peers take
-//! nearly every slot; one would see the others' requests expire in the queue. Each team is
-//! therefore charged the slot time that it used, and the least charged one goes first.
+//! Ordering by deadline alone would let a team that sends a hundred times as much as others take
+//! nearly every slot, while the other teams' requests expire in the queue. Teams are therefore
+//! charged for the slot time that they use.
 
 use crate::ids::AttemptId;
 use crate::message::TierWaiting;
@@ -14,30 +14,32 @@
 use hickorycross_config::{Document, TeamId, TierId};
 use indexmap::IndexMap;
 
-const FULL_CREDIT: u32 = 1_000;
-const CREDIT_CAP: u32 = 2 * FULL_CREDIT;
+/// Credit that entitles a tier to a start ahead of higher tiers, in thousandths of a start.
+const CREDIT_PER_START: u32 = 1_000;
+/// Maximum credit that a tier accumulates.
+const MAX_CREDIT: u32 = 2 * CREDIT_PER_START;
 
-/// One waiting attempt.
+/// What the queue needs to know of a waiting attempt.
 #[derive(Clone, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedAttempt {
     pub(crate) tier: TierId,
     pub(crate) rank: u8,
     pub(crate) team: TeamId,
     pub(crate) deadline: UnixMs,
 }
 
-/// Whether there is a place for another attempt.
+/// Whether the queue has room for another attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Place {
-    /// There is.
+pub(crate) enum Admission {
+    /// There is room.
     Free,
-    /// There will be, once this attempt has been handed back.
+    /// There is room once this attempt has been evicted.
     Evict(AttemptId),
-    /// There is none.
+    /// There is no room, and no attempt may be evicted.
     Full,
 }
 
-/// Which of the queue's rules are in force.
+/// Which rules of the queue are enabled.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueueRules {
     pub(crate) eviction: bool,
@@ -49,21 +51,24 @@
 #[derive(Debug)]
 pub(crate) struct FairQueue {
     rules: QueueRules,
-    waiting: IndexMap<AttemptId, Waiting>,
+    waiting: IndexMap<AttemptId, QueuedAttempt>,
     tiers: IndexMap<u8, TierShare>,
 }
 
+/// Scheduling state of one tier.
+///
+/// Virtual time is the highest charged slot time that a team had when one of its attempts started.
 #[derive(Debug, Default)]
 struct TierShare {
     floor_permille: u32,
     credit: u32,
-    clock_ms: u64,
-    used_ms: IndexMap<TeamId, u64>,
+    virtual_time_ms: u64,
+    charged_total_ms: IndexMap<TeamId, u64>,
 }
 
 impl TierShare {
-    fn used_ms(&self, team: &TeamId) -> u64 {
-        self.used_ms.get(team).copied().unwrap_or(self.clock_ms)
+    fn charged_total_ms(&self, team: &TeamId) -> u64 {
+        self.charged_total_ms.get(team).copied().unwrap_or(self.virtual_time_ms)
     }
 }
 
@@ -72,8 +77,8 @@
         Self { rules, waiting: IndexMap::new(), tiers: IndexMap::new() }
     }
 
-    /// Follows the tiers of another document.
-    pub(crate) fn adopt(&mut self, document: &Document) {
+    /// Applies the tiers of a new document to the queue and the waiting attempts.
+    pub(crate) fn apply_document(&mut self, document: &Document) {
         for share in self.tiers.values_mut() {
             share.floor_permille = 0;
         }
@@ -96,13 +101,13 @@
         self.waiting.keys().copied().collect()
     }
 
-    /// Attempts that would go before a new one of a rank.
+    /// Returns the number of attempts that are ahead of a new one of this rank.
     pub(crate) fn ahead_of(&self, rank: u8) -> u32 {
         self.waiting.values().filter(|waiting| waiting.rank <= rank).count() as u32
     }
 
-    /// Waiting attempts by rank, only ranks with any, in order.
-    pub(crate) fn by_rank(&self) -> Vec<TierWaiting> {
+    /// Returns the number of waiting attempts by rank, in ascending order and without empty ranks.
+    pub(crate) fn waiting_by_rank(&self) -> Vec<TierWaiting> {
         let mut rows: Vec<TierWaiting> = Vec::new();
         for waiting in self.waiting.values() {
             match rows.iter_mut().find(|row| row.rank == waiting.rank) {
@@ -114,150 +119,164 @@
         rows
     }
 
-    /// Attempts whose deadline has passed.
+    /// Returns the attempts whose deadline has passed.
     pub(crate) fn expired(&self, now: Now) -> Vec<AttemptId> {
         let expired = self.waiting.iter().filter(|(_, waiting)| waiting.deadline.is_past(now));
         expired.map(|(attempt, _)| *attempt).collect()
     }
 
-    /// Looks for a place for another attempt among `places`.
-    pub(crate) fn place(&self, rank: u8, team: &TeamId, places: u32) -> Place {
-        if self.len() < places {
-            return Place::Free;
+    /// Returns whether another attempt fits into a queue of `capacity` attempts.
+    pub(crate) fn find_room(&self, rank: u8, team: &TeamId, capacity: u32) -> Admission {
+        if self.len() < capacity {
+            return Admission::Free;
         }
         if !self.rules.eviction {
-            return Place::Full;
+            return Admission::Full;
         }
         let victim = self
-            .lower_tier_victim(rank, places)
-            .or_else(|| self.floor_victim(rank, places))
+            .lower_tier_victim(rank, capacity)
+            .or_else(|| self.floor_victim(rank, capacity))
             .or_else(|| self.same_tier_victim(rank, team));
-        victim.map_or(Place::Full, Place::Evict)
+        victim.map_or(Admission::Full, Admission::Evict)
     }
 
-    /// Adds an attempt.
-    pub(crate) fn push(&mut self, attempt: AttemptId, waiting: Waiting) {
+    /// Adds an attempt to the queue.
+    pub(crate) fn push(&mut self, attempt: AttemptId, waiting: QueuedAttempt) {
         let share = self.tiers.entry(waiting.rank).or_default();
-        // A team that was idle starts at the tier's clock: the time it did not use is not saved up.
-        let used_ms = share.used_ms(&waiting.team).max(share.clock_ms);
-        share.used_ms.insert(waiting.team.clone(), used_ms);
+        // An idle team starts at the tier's virtual time, so that it does not accumulate unused
+        // time.
+        let charged_total_ms = share.charged_total_ms(&waiting.team).max(share.virtual_time_ms);
+        share.charged_total_ms.insert(waiting.team.clone(), charged_total_ms);
         self.waiting.insert(attempt, waiting);
     }
 
-    /// Takes an attempt out, whatever its turn.
-    pub(crate) fn remove(&mut self, attempt: &AttemptId) -> Option<Waiting> {
+    /// Removes an attempt regardless of its position.
+    pub(crate) fn remove(&mut self, attempt: &AttemptId) -> Option<QueuedAttempt> {
         self.waiting.shift_remove(attempt)
     }
 
-    /// The attempt whose turn it is.
-    pub(crate) fn next(&self) -> Option<AttemptId> {
+    /// Returns the attempt to start next.
+    pub(crate) fn next_attempt(&self) -> Option<AttemptId> {
         let rank = self.next_rank()?;
         let share = self.tiers.get(&rank)?;
         let of_rank = self.waiting.iter().filter(|(_, waiting)| waiting.rank == rank);
         let first = of_rank.min_by_key(|(_, waiting)| {
-            let used_ms = if self.rules.team_fairness { share.used_ms(&waiting.team) } else { 0 };
-            (used_ms, waiting.deadline)
+            let charged_total_ms =
+                if self.rules.team_fairness { share.charged_total_ms(&waiting.team) } else { 0 };
+            (charged_total_ms, waiting.deadline)
         });
         first.map(|(attempt, _)| *attempt)
     }
 
-    /// Charges a start and moves the floors' credits.
-    pub(crate) fn charge_start(&mut self, started: &Waiting, cost_ms: u64) {
-        let mut ranks: Vec<u8> = self.by_rank().iter().map(|row| row.rank).collect();
+    /// Charges a start to its team and updates the credits of the tier floors.
+    pub(crate) fn charge_start(&mut self, started: &QueuedAttempt, cost_ms: u64) {
+        let mut ranks: Vec<u8> = self.waiting_by_rank().iter().map(|row| row.rank).collect();
         if !ranks.contains(&started.rank) {
             ranks.push(started.rank);
         }
         for rank in ranks {
             let share = self.tiers.entry(rank).or_default();
-            share.credit = CREDIT_CAP.min(share.credit + share.floor_permille);
+            share.credit = MAX_CREDIT.min(share.credit + share.floor_permille);
         }
         let share = self.tiers.entry(started.rank).or_default();
-        share.credit = share.credit.saturating_sub(FULL_CREDIT);
-        let used_ms = share.used_ms(&started.team);
-        share.clock_ms = share.clock_ms.max(used_ms);
-        share.used_ms.insert(started.team.clone(), used_ms.saturating_add(cost_ms));
+        share.credit = share.credit.saturating_sub(CREDIT_PER_START);
+        let charged_total_ms = share.charged_total_ms(&started.team);
+        share.virtual_time_ms = share.virtual_time_ms.max(charged_total_ms);
+        share
+            .charged_total_ms
+            .insert(started.team.clone(), charged_total_ms.saturating_add(cost_ms));
     }
 
-    /// Replaces the charge of a start by the slot time that it took.
-    pub(crate) fn settle(&mut self, rank: u8, team: &TeamId, charged_ms: u64, actual_ms: u64) {
+    /// Replaces the estimated charge of a start by the slot time it actually took.
+    pub(crate) fn correct_charge(
+        &mut self,
+        rank: u8,
+        team: &TeamId,
+        charged_ms: u64,
+        actual_ms: u64,
+    ) {
         let Some(share) = self.tiers.get_mut(&rank) else { return };
-        let Some(used_ms) = share.used_ms.get_mut(team) else { return };
-        *used_ms = used_ms.saturating_add(actual_ms).saturating_sub(charged_ms);
+        let Some(charged_total_ms) = share.charged_total_ms.get_mut(team) else { return };
+        *charged_total_ms = charged_total_ms.saturating_add(actual_ms).saturating_sub(charged_ms);
     }
 
-    /// Forgets idle teams and unused credits.
+    /// Drops idle teams and the credits of empty tiers.
     pub(crate) fn sweep(&mut self) {
         for (rank, share) in &mut self.tiers {
             let of_rank = || self.waiting.values().filter(|waiting| waiting.rank == *rank);
             if of_rank().next().is_none() {
                 share.credit = 0;
             }
-            let clock_ms = share.clock_ms;
-            share.used_ms.retain(|team, used_ms| {
-                *used_ms > clock_ms || of_rank().any(|waiting| waiting.team == *team)
+            let virtual_time_ms = share.virtual_time_ms;
+            share.charged_total_ms.retain(|team, charged_total_ms| {
+                *charged_total_ms > virtual_time_ms
+                    || of_rank().any(|waiting| waiting.team == *team)
             });
         }
     }
 
     fn next_rank(&self) -> Option<u8> {
-        let rows = self.by_rank();
+        let rows = self.waiting_by_rank();
         let due = |rank: &u8| {
             self.rules.tier_floors
-                && self.tiers.get(rank).is_some_and(|share| share.credit >= FULL_CREDIT)
+                && self.tiers.get(rank).is_some_and(|share| share.credit >= CREDIT_PER_START)
         };
         let mut ranks = rows.iter().map(|row| row.rank);
         let first = ranks.clone().next();
         ranks.find(due).or(first)
     }
 
-    /// Places of a full queue that a tier keeps.
-    fn kept_places(&self, rank: u8, places: u32) -> u32 {
+    /// Returns the part of the queue's capacity that a tier's floor reserves.
+    fn reserved_capacity(&self, rank: u8, capacity: u32) -> u32 {
         if !self.rules.tier_floors {
             return 0;
         }
         let floor = self.tiers.get(&rank).map_or(0, |share| share.floor_permille);
-        (places * floor).div_ceil(FULL_CREDIT)
+        (capacity * floor).div_ceil(CREDIT_PER_START)
     }
 
-    fn lower_tier_victim(&self, rank: u8, places: u32) -> Option<AttemptId> {
-        let rows = self.by_rank();
-        let lowest = rows
-            .iter()
-            .rev()
-            .find(|row| row.rank > rank && row.requests > self.kept_places(row.rank, places))?;
-        self.victim_of(lowest.rank)
+    fn lower_tier_victim(&self, rank: u8, capacity: u32) -> Option<AttemptId> {
+        let rows = self.waiting_by_rank();
+        let lowest = rows.iter().rev().find(|row| {
+            row.rank > rank && row.requests > self.reserved_capacity(row.rank, capacity)
+        })?;
+        self.victim_in_rank(lowest.rank)
     }
 
-    /// Without this, a lower tier's floor would be void: under strain the queue is full of higher
-    /// tiers and nothing of the lower one ever waits for its share of the starts.
-    fn floor_victim(&self, rank: u8, places: u32) -> Option<AttemptId> {
-        let rows = self.by_rank();
+    /// Returns a victim in another tier for a tier that is below its reserved capacity.
+    ///
+    /// Without this, a lower tier's floor has no effect under overload: higher tiers fill the
+    /// queue, and no attempt of the lower tier is waiting when its share of the starts is due.
+    fn floor_victim(&self, rank: u8, capacity: u32) -> Option<AttemptId> {
+        let rows = self.waiting_by_rank();
         let own = rows.iter().find(|row| row.rank == rank).map_or(0, |row| row.requests);
-        if own >= self.kept_places(rank, places) {
+        if own >= self.reserved_capacity(rank, capacity) {
             return None;
         }
-        let other = rows
-            .iter()
-            .rev()
-            .find(|row| row.rank != rank && row.requests > self.kept_places(row.rank, places))?;
-        self.victim_of(other.rank)
+        let other = rows.iter().rev().find(|row| {
+            row.rank != rank && row.requests > self.reserved_capacity(row.rank, capacity)
+        })?;
+        self.victim_in_rank(other.rank)
     }
 
-    /// Without this, a team that fills the queue keeps its peers out of it, however fair the order
-    /// of those that wait.
+    /// Returns a victim of the team with the most waiting attempts in the same tier.
+    ///
+    /// Without this, a team that fills the queue keeps other teams out of it, however fair the
+    /// order of the waiting attempts is.
     fn same_tier_victim(&self, rank: u8, team: &TeamId) -> Option<AttemptId> {
         if !self.rules.team_fairness {
             return None;
         }
-        let counts = self.teams_of(rank);
+        let counts = self.waiting_by_team(rank);
         let largest = counts.values().max().copied()?;
         let own = counts.get(team).copied().unwrap_or(0);
-        (largest > own + 1).then(|| self.victim_of(rank)).flatten()
+        (largest > own + 1).then(|| self.victim_in_rank(rank)).flatten()
     }
 
-    /// The latest deadline of the team that waits with the most attempts; of equals the newest.
-    fn victim_of(&self, rank: u8) -> Option<AttemptId> {
-        let counts = self.teams_of(rank);
+    /// Returns the attempt with the latest deadline of the team with the most waiting attempts in a
+    /// rank; the newest one if several are equal.
+    fn victim_in_rank(&self, rank: u8) -> Option<AttemptId> {
+        let counts = self.waiting_by_team(rank);
         let of_rank = self.waiting.iter().filter(|(_, waiting)| waiting.rank == rank);
         let last = of_rank.max_by_key(|(_, waiting)| {
             let count = counts.get(&waiting.team).copied().unwrap_or(0);
@@ -266,7 +285,7 @@
         last.map(|(attempt, _)| *attempt)
     }
 
-    fn teams_of(&self, rank: u8) -> IndexMap<&TeamId, u32> {
+    fn waiting_by_team(&self, rank: u8) -> IndexMap<&TeamId, u32> {
         let mut counts = IndexMap::new();
         for waiting in self.waiting.values().filter(|waiting| waiting.rank == rank) {
             *counts.entry(&waiting.team).or_insert(0) += 1;
--- a/crates/core/src/agent/recover.rs
+++ b/crates/core/src/agent/recovery.rs
@@ -1,16 +1,16 @@
-//! What an entry does after it lost touch with an attempt, or interest in it.
+//! Revocation, reattachment, cancellation and acknowledgement of attempts.
 
-use super::attempt::{Closing, Reading, Stage};
-use super::border::AgentAction;
+use super::attempt::{FinalState, ReadProgress, Stage};
 use super::constants::{ACK_SETTLE_MS, CANCEL_TOMBSTONE_MS};
 use super::core::AgentCore;
 use super::execution::Outcome;
+use super::interface::AgentAction;
 use crate::ids::{AttemptId, Incarnation, LinkId};
 use crate::message::{RefusalReason, RevokeOutcome, ToEntry};
 use crate::time::{Now, UnixMs};
 use crate::verdict::Verdict;
 
-/// A revocation, as received.
+/// A revocation received from an entry.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Revocation {
     pub(super) attempt: AttemptId,
@@ -20,8 +20,9 @@
 }
 
 impl AgentCore {
-    /// Makes sure that an attempt does not start, or says that it has.
-    pub(super) fn revoke(
+    /// Guarantees that an attempt will not start, or attaches the entry to it if it may have
+    /// started.
+    pub(super) fn handle_revoke(
         &mut self,
         now: Now,
         link: LinkId,
@@ -33,21 +34,28 @@
             return send_revoked(link, attempt, RevokeOutcome::UnknownIncarnation, actions);
         }
         match self.attempts.get(&attempt).map(|row| &row.stage) {
-            None | Some(Stage::Closed(Closing::CancelledUnseen)) => {
-                self.revoke_unseen(link, revocation, actions);
+            None | Some(Stage::Closed(FinalState::CancelledEarly)) => {
+                self.revoke_without_record(link, revocation, actions);
             }
             Some(Stage::Queued(_)) => {
                 self.queue.remove(&attempt);
                 self.tombstone(link, revocation, actions);
             }
-            Some(Stage::Closed(Closing::Tombstoned | Closing::Refused { .. })) => {
+            Some(Stage::Closed(FinalState::Tombstoned | FinalState::Refused { .. })) => {
                 send_revoked(link, attempt, RevokeOutcome::Tombstoned, actions);
             }
-            Some(Stage::Closed(closing @ Closing::KeyUsed { .. })) => {
-                let closing = *closing;
-                self.send_closing(now, link, attempt, revocation.deadline, closing, actions);
+            Some(Stage::Closed(final_state @ FinalState::KeyUsed { .. })) => {
+                let final_state = *final_state;
+                self.send_final_state(
+                    now,
+                    link,
+                    attempt,
+                    revocation.deadline,
+                    final_state,
+                    actions,
+                );
             }
-            Some(Stage::Reading(_) | Stage::Closed(Closing::Ended { .. })) => {
+            Some(Stage::Reading(_) | Stage::Closed(FinalState::Ended { .. })) => {
                 self.counters.revoked_started += 1;
                 send_revoked(link, attempt, RevokeOutcome::Attached, actions);
                 self.attach_known(now, link, attempt, revocation.next_chunk, actions);
@@ -55,9 +63,11 @@
         }
     }
 
-    /// Of an attempt without a row it is certain that it never started only while none with as
-    /// late a deadline has been forgotten.
-    fn revoke_unseen(
+    /// Revokes an attempt of which no record shows whether it started.
+    ///
+    /// That it never started is certain only while no attempt with the same or a later deadline has
+    /// been forgotten.
+    fn revoke_without_record(
         &mut self,
         link: LinkId,
         revocation: Revocation,
@@ -69,22 +79,29 @@
         }
     }
 
-    /// Without a tombstone, a copy of the submit that a slow path delivers after this answer would
-    /// run, although the entry was told that it never will and has sent another attempt.
+    /// Records and confirms that an attempt will not start.
+    ///
+    /// Without the record, a delayed copy of the submit would run, although the entry has been told
+    /// that it will not and has sent another attempt.
     fn tombstone(&mut self, link: LinkId, revocation: Revocation, actions: &mut Vec<AgentAction>) {
         let Revocation { attempt, deadline, .. } = revocation;
         self.counters.tombstoned += 1;
         if self.mechanisms.tombstones {
-            self.guard.note_tombstoned(attempt, deadline);
-            self.record(attempt, Some(link), deadline, Stage::Closed(Closing::Tombstoned));
+            self.guard.record_tombstoned(attempt, deadline);
+            self.insert_attempt(
+                attempt,
+                Some(link),
+                deadline,
+                Stage::Closed(FinalState::Tombstoned),
+            );
         } else {
             self.attempts.swap_remove(&attempt);
         }
         send_revoked(link, attempt, RevokeOutcome::Tombstoned, actions);
     }
 
-    /// Moves an attempt to a link and sends what the entry does not have.
-    pub(super) fn attach(
+    /// Moves an attempt to a link and resends what the entry does not have yet.
+    pub(super) fn handle_attach(
         &mut self,
         now: Now,
         link: LinkId,
@@ -93,11 +110,11 @@
         next_chunk: u32,
         actions: &mut Vec<AgentAction>,
     ) {
-        let meant = !self.mechanisms.incarnation_check || agent == self.identity.incarnation;
-        if meant && self.attempts.contains_key(&attempt) {
+        let is_addressed = !self.mechanisms.incarnation_check || agent == self.identity.incarnation;
+        if is_addressed && self.attempts.contains_key(&attempt) {
             return self.attach_known(now, link, attempt, next_chunk, actions);
         }
-        // Its submit may be under way still, or its record is gone: neither proves anything.
+        // The submit may still be in transit, or the record has expired: it may have run or not.
         self.counters.late_messages += 1;
         self.send_unknown(link, attempt, actions);
     }
@@ -123,42 +140,47 @@
                 let run = reading.run;
                 self.resend(now, attempt, run, next_chunk, actions);
             }
-            // Its own deadline, and so whether it may have run and been forgotten, is not known.
-            Stage::Closed(Closing::CancelledUnseen) => self.send_unknown(link, attempt, actions),
-            Stage::Closed(closing) => {
-                let closing = *closing;
-                self.send_closing(now, link, attempt, deadline, closing, actions);
+            // The deadline is not known, so the attempt may have run and been forgotten.
+            Stage::Closed(FinalState::CancelledEarly) => self.send_unknown(link, attempt, actions),
+            Stage::Closed(final_state) => {
+                let final_state = *final_state;
+                self.send_final_state(now, link, attempt, deadline, final_state, actions);
             }
         }
     }
 
-    /// Stops an attempt for which nobody waits.
-    pub(super) fn cancel(&mut self, now: Now, attempt: AttemptId, actions: &mut Vec<AgentAction>) {
+    /// Stops an attempt whose caller no longer waits for the response.
+    pub(super) fn handle_cancel(
+        &mut self,
+        now: Now,
+        attempt: AttemptId,
+        actions: &mut Vec<AgentAction>,
+    ) {
         let Some(row) = self.attempts.get(&attempt) else {
             self.counters.late_messages += 1;
-            // The cancellation may have overtaken the submit.
+            // The cancellation may have arrived before the submit.
             let until = now.after(CANCEL_TOMBSTONE_MS);
-            let stage = Stage::Closed(Closing::CancelledUnseen);
-            return self.record(attempt, None, until, stage);
+            let stage = Stage::Closed(FinalState::CancelledEarly);
+            return self.insert_attempt(attempt, None, until, stage);
         };
         match row.stage {
             Stage::Queued(_) => {
                 self.counters.cancelled += 1;
-                self.guard.note_tombstoned(attempt, row.deadline);
+                self.guard.record_tombstoned(attempt, row.deadline);
                 self.queue.remove(&attempt);
-                self.close(attempt, Closing::Tombstoned);
+                self.set_final_state(attempt, FinalState::Tombstoned);
             }
             Stage::Reading(reading) => {
                 self.counters.cancelled += 1;
-                self.detach(attempt, reading.run);
+                self.detach_reader(attempt, reading.run);
                 self.abort_if_unread(reading.run, actions);
             }
             Stage::Closed(_) => {}
         }
     }
 
-    /// Takes an attempt off the readers of a run; what it may read from then on is the verdict.
-    pub(super) fn detach(&mut self, attempt: AttemptId, run: AttemptId) {
+    /// Removes an attempt from the readers of a run. From then on it can only be told the verdict.
+    pub(super) fn detach_reader(&mut self, attempt: AttemptId, run: AttemptId) {
         let verdict = match self.executions.get_mut(&run) {
             Some(execution) => {
                 execution.readers.retain(|reader| *reader != attempt);
@@ -166,34 +188,34 @@
             }
             None => Verdict::MayHaveRun,
         };
-        self.close(attempt, Closing::Ended { verdict });
+        self.set_final_state(attempt, FinalState::Ended { verdict });
         self.prune(run);
     }
 
-    pub(super) fn close(&mut self, attempt: AttemptId, closing: Closing) {
+    pub(super) fn set_final_state(&mut self, attempt: AttemptId, final_state: FinalState) {
         if let Some(row) = self.attempts.get_mut(&attempt) {
-            row.stage = Stage::Closed(closing);
+            row.stage = Stage::Closed(final_state);
         }
     }
 
-    /// Notes how much of an answer an entry holds.
-    pub(super) fn received(&mut self, now: Now, attempt: AttemptId, next_chunk: u32) {
+    /// Records that an entry has received all chunks before `next_chunk`.
+    pub(super) fn acknowledge(&mut self, now: Now, attempt: AttemptId, next_chunk: u32) {
         let Some(row) = self.attempts.get_mut(&attempt) else {
             self.counters.late_messages += 1;
             return;
         };
         let Stage::Reading(reading) = &mut row.stage else { return };
         let Some(execution) = self.executions.get(&reading.run) else { return };
-        let chunk_count = execution.answer.chunk_count();
-        reading.received = reading.received.max(next_chunk.min(chunk_count));
-        if execution.outcome == Some(Outcome::Whole) {
-            reading.acknowledge(now, next_chunk, chunk_count);
+        let chunk_count = execution.response.chunk_count();
+        reading.next_unacked_chunk = reading.next_unacked_chunk.max(next_chunk.min(chunk_count));
+        if execution.outcome == Some(Outcome::Complete) {
+            reading.note_full_acknowledgement(now, next_chunk, chunk_count);
         }
         let run = reading.run;
         self.prune(run);
     }
 
-    /// Answers about an attempt of which nothing is known.
+    /// Replies that an attempt may have run, because no record of it exists.
     pub(super) fn send_unknown(
         &self,
         link: LinkId,
@@ -201,35 +223,37 @@
         actions: &mut Vec<AgentAction>,
     ) {
         let verdict = Verdict::MayHaveRun;
-        let detail = "the agent holds no record of the attempt".to_owned();
+        let detail = "the agent has no record of the attempt".to_owned();
         let message = ToEntry::Failed { attempt, verdict, detail };
         actions.push(AgentAction::Send { link, message });
     }
 
-    /// Sends the final state of an attempt again.
-    pub(super) fn send_closing(
+    /// Sends the final state of an attempt to its entry.
+    pub(super) fn send_final_state(
         &mut self,
         now: Now,
         link: LinkId,
         attempt: AttemptId,
         deadline: UnixMs,
-        closing: Closing,
+        final_state: FinalState,
         actions: &mut Vec<AgentAction>,
     ) {
-        let message = match closing {
-            Closing::CancelledUnseen if !self.never_started(deadline) => {
+        let message = match final_state {
+            FinalState::CancelledEarly if !self.never_started(deadline) => {
                 return self.send_unknown(link, attempt, actions);
             }
-            Closing::Tombstoned | Closing::CancelledUnseen => {
+            FinalState::Tombstoned | FinalState::CancelledEarly => {
                 let reason = RefusalReason::Revoked;
                 return self.send_refusal(now, link, attempt, reason, None, actions);
             }
-            Closing::Refused { reason, retry_at } => {
+            FinalState::Refused { reason, retry_at } => {
                 return self.send_refusal(now, link, attempt, reason, retry_at, actions);
             }
-            Closing::KeyUsed { earlier, verdict } => ToEntry::KeyUsed { attempt, earlier, verdict },
-            Closing::Ended { verdict } => {
-                let detail = "the answer is no longer held".to_owned();
+            FinalState::KeyUsed { earlier, verdict } => {
+                ToEntry::KeyUsed { attempt, earlier, verdict }
+            }
+            FinalState::Ended { verdict } => {
+                let detail = "the response is no longer retained".to_owned();
                 ToEntry::Failed { attempt, verdict, detail }
             }
         };
@@ -237,16 +261,17 @@
     }
 }
 
-impl Reading {
-    /// Notes an acknowledgement of a whole answer.
+impl ReadProgress {
+    /// Records when a complete response counts as acknowledged.
     ///
-    /// One that names exactly the chunks may have crossed the end marker on its way: it counts only
-    /// after a while without an attachment, so that a drain does not cut the end marker off.
-    fn acknowledge(&mut self, now: Now, next_chunk: u32, chunk_count: u32) {
+    /// `next_chunk` beyond the last chunk acknowledges the end marker too. An acknowledgement of
+    /// just the chunks may have been sent before the end marker arrived. It counts only after a
+    /// delay, so that a drain does not stop the agent before the entry has the end marker.
+    fn note_full_acknowledgement(&mut self, now: Now, next_chunk: u32, chunk_count: u32) {
         if next_chunk > chunk_count {
-            self.whole_at = now.unix_ms;
-        } else if next_chunk == chunk_count && self.whole_at == UnixMs::NEVER {
-            self.whole_at = now.after(ACK_SETTLE_MS);
+            self.fully_acked_at = now.unix_ms;
+        } else if next_chunk == chunk_count && self.fully_acked_at == UnixMs::NEVER {
+            self.fully_acked_at = now.after(ACK_SETTLE_MS);
         }
     }
 }
--- a/crates/core/src/agent/replies.rs
+++ b/crates/core/src/agent/replies.rs
@@ -1,10 +1,10 @@
-//! Messages and records that several systems send.
+//! Replies and audit records shared by several modules.
 
-use super::attempt::{Closing, Stage};
-use super::border::AgentAction;
+use super::attempt::{FinalState, Stage};
 use super::constants::RETRY_SPREAD_PERMILLE;
 use super::core::AgentCore;
-use super::key_judgement::KeyJudgement;
+use super::interface::AgentAction;
+use super::key_decision::KeyDecision;
 use crate::audit::{AuditRecord, Change};
 use crate::ids::{AttemptId, LinkId};
 use crate::message::{RefusalReason, ToEntry};
@@ -12,8 +12,8 @@
 use rand::RngExt as _;
 
 impl AgentCore {
-    /// Sends to the link that an attempt was last attached to, if it is open.
-    pub(super) fn send_to(
+    /// Sends a message on the link of an attempt, if that link is open.
+    pub(super) fn send_to_entry(
         &self,
         attempt: AttemptId,
         message: ToEntry,
@@ -29,7 +29,7 @@
         actions.push(AgentAction::Audit(record));
     }
 
-    /// Sends a refusal, which the caller has recorded if it must hold for late copies.
+    /// Sends a refusal. The caller must have recorded it if late copies are to be refused as well.
     pub(super) fn send_refusal(
         &mut self,
         now: Now,
@@ -39,23 +39,25 @@
         retry_at: Option<UnixMs>,
         actions: &mut Vec<AgentAction>,
     ) {
-        self.counters.refused(reason);
+        self.counters.count_refusal(reason);
         let message = ToEntry::Refused { attempt, reason, retry_at, load: self.load(now) };
         actions.push(AgentAction::Send { link, message });
     }
 
-    /// Takes an attempt out of the queue and tells its entry that it did not run.
-    pub(super) fn hand_back(
+    /// Removes an attempt from the queue and tells its entry that it did not run.
+    ///
+    /// If its key has been used by another attempt in the meantime, the entry is told that instead.
+    pub(super) fn refuse_queued(
         &mut self,
         now: Now,
         attempt: AttemptId,
         reason: RefusalReason,
         actions: &mut Vec<AgentAction>,
     ) {
-        if let Some(KeyJudgement::Used { earlier, verdict }) =
-            self.used_while_queued(now, attempt, reason)
+        if let Some(KeyDecision::Used { earlier, verdict }) =
+            self.key_used_while_queued(now, attempt, reason)
         {
-            return self.close_used(attempt, earlier, verdict, actions);
+            return self.close_key_used(attempt, earlier, verdict, actions);
         }
         let waiting = self.queue.remove(&attempt);
         let retry_at = match (reason, waiting) {
@@ -63,33 +65,35 @@
             _ => None,
         };
         let Some(row) = self.attempts.get_mut(&attempt) else { return };
-        row.stage = Stage::Closed(Closing::Refused { reason, retry_at });
+        row.stage = Stage::Closed(FinalState::Refused { reason, retry_at });
         match row.link {
             Some(link) => self.send_refusal(now, link, attempt, reason, retry_at, actions),
-            None => self.counters.refused(reason),
+            None => self.counters.count_refusal(reason),
         }
     }
 
-    /// Whether the key of a queued attempt was used by another one since it was accepted.
-    fn used_while_queued(
+    /// Returns the earlier use of a queued attempt's key if it takes precedence over a refusal for
+    /// `reason`.
+    fn key_used_while_queued(
         &self,
         now: Now,
         attempt: AttemptId,
         reason: RefusalReason,
-    ) -> Option<KeyJudgement> {
+    ) -> Option<KeyDecision> {
         let Stage::Queued(submit) = &self.attempts.get(&attempt)?.stage else { return None };
-        let used = self.judge_used(now, submit, submit.key?)?;
-        match self.used_instead(submit, used, reason)? {
-            KeyJudgement::Replay { run, verdict } => {
-                Some(KeyJudgement::Used { earlier: Some(run.request), verdict })
+        let used = self.decide_by_earlier_run(now, submit, submit.key?)?;
+        match self.override_refusal(submit, used, reason)? {
+            KeyDecision::Replay { run, verdict } => {
+                Some(KeyDecision::Used { earlier: Some(run.request), verdict })
             }
-            judgement => Some(judgement),
+            decision => Some(decision),
         }
     }
 
-    /// When an attempt of a rank would be started if it came back: the slot time of those that go
-    /// first, spread so that refused entries do not all come back at once. None before the first
-    /// measurement.
+    /// Returns when a refused attempt of a rank should be retried.
+    ///
+    /// This is the estimated time until the attempts ahead of it have been started, plus jitter, so
+    /// that refused entries do not all retry at once. None before the first measurement.
     pub(super) fn retry_at(&mut self, now: Now, rank: u8) -> Option<UnixMs> {
         let slots = u64::from(self.slots());
         let service_ms = u64::from(self.service.smoothed_ms());
--- a/crates/core/src/agent/answer.rs
+++ b/crates/core/src/agent/response_buffer.rs
@@ -1,13 +1,15 @@
-//! The chunks of one answer that can still be sent again.
+//! Buffer of the response chunks that can still be resent.
 
 use crate::message::ResponseHead;
 use bytes::Bytes;
 use std::collections::VecDeque;
 
-/// One answer of a backend server, as far as it has come.
+/// The part of a backend server's response that has arrived so far.
+///
+/// Counts cover the whole response; chunks before the first retained index have been dropped.
 #[derive(Debug, Default)]
-pub(crate) struct Answer {
-    /// Status and headers, once they have come.
+pub(crate) struct ResponseBuffer {
+    /// Status and headers; none until they arrive.
     pub(crate) head: Option<ResponseHead>,
     chunks: VecDeque<Bytes>,
     first_index: u32,
@@ -15,15 +17,15 @@
     retained_bytes: u64,
 }
 
-/// A chunk with its number.
+/// A chunk and its index within the response.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Numbered<'a> {
+pub(crate) struct IndexedChunk<'a> {
     pub(crate) index: u32,
     pub(crate) bytes: &'a Bytes,
 }
 
-impl Answer {
-    /// Appends a chunk and returns its number.
+impl ResponseBuffer {
+    /// Appends a chunk and returns its index.
     pub(crate) fn push(&mut self, bytes: Bytes) -> u32 {
         let index = self.chunk_count();
         self.byte_count += bytes.len() as u64;
@@ -32,34 +34,34 @@
         index
     }
 
-    /// Chunks so far.
+    /// Returns the number of chunks received so far, dropped ones included.
     pub(crate) fn chunk_count(&self) -> u32 {
         self.first_index + self.chunks.len() as u32
     }
 
-    /// Bytes of all chunks so far.
+    /// Returns the size of all chunks received so far, dropped ones included.
     pub(crate) fn byte_count(&self) -> u64 {
         self.byte_count
     }
 
-    /// Bytes of the chunks that are still held.
+    /// Returns the size of the chunks that are still buffered.
     pub(crate) fn retained_bytes(&self) -> u64 {
         self.retained_bytes
     }
 
-    /// Whether the chunk at an index and all after it are held.
-    pub(crate) fn holds_from(&self, index: u32) -> bool {
+    /// Returns whether the chunk at `index` and all later ones are still buffered.
+    pub(crate) fn retains_from(&self, index: u32) -> bool {
         index >= self.first_index
     }
 
-    /// The held chunks from an index on.
-    pub(crate) fn from(&self, index: u32) -> impl Iterator<Item = Numbered<'_>> {
+    /// Returns the buffered chunks from `index` on.
+    pub(crate) fn chunks_from(&self, index: u32) -> impl Iterator<Item = IndexedChunk<'_>> {
         let skipped = index.saturating_sub(self.first_index);
-        let numbered = (self.first_index..).zip(&self.chunks);
-        numbered.skip(skipped as usize).map(|(index, bytes)| Numbered { index, bytes })
+        let indexed = (self.first_index..).zip(&self.chunks);
+        indexed.skip(skipped as usize).map(|(index, bytes)| IndexedChunk { index, bytes })
     }
 
-    /// Drops the chunks before an index.
+    /// Drops the buffered chunks before `index`.
     pub(crate) fn drop_before(&mut self, index: u32) {
         while self.first_index < index {
             let Some(bytes) = self.chunks.pop_front() else { return };
--- a/crates/core/src/agent/run_events.rs
+++ b/crates/core/src/agent/run_events.rs
@@ -1,9 +1,9 @@
-//! Events of the backend server about a run, and what readers get of its answer.
+//! Handles the events of a run and forwards its response to the readers.
 
-use super::border::AgentAction;
-use super::constants::{ACK_SETTLE_MS, ANSWER_RETENTION_MS, FALLBACK_KEY_HORIZON_MS};
+use super::constants::{ACK_SETTLE_MS, FALLBACK_KEY_HORIZON_MS, RESPONSE_RETENTION_MS};
 use super::core::AgentCore;
 use super::execution::{Execution, Outcome};
+use super::interface::AgentAction;
 use crate::ids::AttemptId;
 use crate::message::{ResponseHead, ToEntry};
 use crate::time::{Now, UnixMs};
@@ -17,9 +17,9 @@
         head: ResponseHead,
         actions: &mut Vec<AgentAction>,
     ) {
-        let Some(execution) = self.live_execution(run) else { return };
-        execution.answer.head = Some(head.clone());
-        self.tell_readers(run, actions, |attempt| ToEntry::Head { attempt, head: head.clone() });
+        let Some(execution) = self.running_execution(run) else { return };
+        execution.response.head = Some(head.clone());
+        self.send_to_readers(run, actions, |attempt| ToEntry::Head { attempt, head: head.clone() });
     }
 
     pub(super) fn backend_chunk(
@@ -28,31 +28,31 @@
         bytes: Bytes,
         actions: &mut Vec<AgentAction>,
     ) {
-        let Some(execution) = self.live_execution(run) else { return };
-        let index = execution.answer.push(bytes.clone());
+        let Some(execution) = self.running_execution(run) else { return };
+        let index = execution.response.push(bytes.clone());
         self.retained_bytes += bytes.len() as u64;
-        self.tell_readers(run, actions, |attempt| {
+        self.send_to_readers(run, actions, |attempt| {
             let bytes = bytes.clone();
             ToEntry::Chunk { attempt, index, bytes }
         });
-        self.bound_retention(run);
+        self.enforce_retention_limits(run);
     }
 
     pub(super) fn backend_end(&mut self, now: Now, run: AttemptId, actions: &mut Vec<AgentAction>) {
-        let Some(execution) = self.live_execution(run) else { return };
-        execution.outcome = Some(Outcome::Whole);
+        let Some(execution) = self.running_execution(run) else { return };
+        execution.outcome = Some(Outcome::Complete);
         let occupied_ms = now.unix_ms.since(execution.started);
         self.counters.ended += 1;
         self.service.observe(occupied_ms);
-        self.release_slot(now, run, Verdict::Ran, now.after(ANSWER_RETENTION_MS));
+        self.release_slot(now, run, Verdict::Ran, now.after(RESPONSE_RETENTION_MS));
         if self.executions.get(&run).is_some_and(|execution| execution.replayable) {
             self.replayable.push_back(run);
         }
         let load = self.load(now);
         let Some(execution) = self.executions.get(&run) else { return };
-        let chunk_count = execution.answer.chunk_count();
-        let byte_count = execution.answer.byte_count();
-        self.tell_readers(run, actions, |attempt| {
+        let chunk_count = execution.response.chunk_count();
+        let byte_count = execution.response.byte_count();
+        self.send_to_readers(run, actions, |attempt| {
             let load = load.clone();
             ToEntry::End { attempt, chunk_count, byte_count, load }
         });
@@ -67,23 +67,23 @@
         detail: String,
         actions: &mut Vec<AgentAction>,
     ) {
-        let Some(execution) = self.live_execution(run) else { return };
-        // Once a piece of the answer has come, nothing can be said to have not run.
-        let answered = execution.answer.head.is_some() || execution.answer.chunk_count() > 0;
+        let Some(execution) = self.running_execution(run) else { return };
+        // Once part of the response has arrived, the request has certainly run.
+        let answered = execution.response.head.is_some() || execution.response.chunk_count() > 0;
         let verdict = if answered { verdict.max(Verdict::Ran) } else { verdict };
         execution.outcome = Some(Outcome::Failed { verdict, detail: detail.clone() });
         execution.replayable = false;
         self.counters.failed += 1;
         self.release_slot(now, run, verdict, now.after(ACK_SETTLE_MS));
         self.drop_chunks(run, u32::MAX);
-        self.tell_readers(run, actions, |attempt| {
+        self.send_to_readers(run, actions, |attempt| {
             let detail = detail.clone();
             ToEntry::Failed { attempt, verdict, detail }
         });
     }
 
-    /// A run that is going on. Anything the backend server says of another is late.
-    fn live_execution(&mut self, run: AttemptId) -> Option<&mut Execution> {
+    /// Returns a run if it is still running; otherwise counts the event as late.
+    fn running_execution(&mut self, run: AttemptId) -> Option<&mut Execution> {
         if !self.running.contains(&run) {
             self.counters.late_backend_events += 1;
             return None;
@@ -91,24 +91,29 @@
         self.executions.get_mut(&run)
     }
 
-    fn release_slot(&mut self, now: Now, run: AttemptId, verdict: Verdict, settle_by: UnixMs) {
+    fn release_slot(&mut self, now: Now, run: AttemptId, verdict: Verdict, fetch_until: UnixMs) {
         self.running.swap_remove(&run);
         let Some(execution) = self.executions.get_mut(&run) else { return };
         let occupied_ms = now.unix_ms.since(execution.started);
-        self.queue.settle(execution.rank, &execution.team, execution.charged_ms, occupied_ms);
-        execution.settle_by = settle_by;
+        self.queue.correct_charge(
+            execution.rank,
+            &execution.team,
+            execution.charged_ms,
+            occupied_ms,
+        );
+        execution.fetch_until = fetch_until;
         let replayable = execution.replayable;
-        let forget_at = self.forget_key_at(now, run);
-        let retain_until = now.after(ANSWER_RETENTION_MS);
+        let forget_at = self.key_expiry(now, run);
+        let retain_until = now.after(RESPONSE_RETENTION_MS);
         let for_repeats = forget_at.filter(|_| replayable).unwrap_or_default();
-        self.retain_until(run, retain_until.max(for_repeats));
+        self.set_retain_until(run, retain_until.max(for_repeats));
         let key = self.executions.get(&run).and_then(|execution| execution.key);
         let (Some(key), Some(forget_at)) = (key, forget_at) else { return };
-        self.keys.end(key, run, verdict, forget_at);
+        self.keys.record_end(key, run, verdict, forget_at);
     }
 
-    /// The end of a key's horizon, should its run end now.
-    fn forget_key_at(&self, now: Now, run: AttemptId) -> Option<UnixMs> {
+    /// Returns the end of the key's horizon if the run ends now; none for a run without a key.
+    fn key_expiry(&self, now: Now, run: AttemptId) -> Option<UnixMs> {
         let execution = self.executions.get(&run)?;
         execution.key?;
         let document = self.document.as_ref();
@@ -117,7 +122,7 @@
         Some(now.after(horizon_ms))
     }
 
-    fn tell_readers(
+    fn send_to_readers(
         &self,
         run: AttemptId,
         actions: &mut Vec<AgentAction>,
@@ -125,11 +130,11 @@
     ) {
         let Some(execution) = self.executions.get(&run) else { return };
         for reader in &execution.readers {
-            self.send_to(*reader, message(*reader), actions);
+            self.send_to_entry(*reader, message(*reader), actions);
         }
     }
 
-    /// Sends an answer to one reader again from a chunk on, as far as it has come.
+    /// Resends the response to one reader from chunk `next_chunk` on, as far as it has arrived.
     pub(super) fn resend(
         &mut self,
         now: Now,
@@ -141,43 +146,42 @@
         let load = self.load(now);
         let Some(execution) = self.executions.get_mut(&run) else { return };
         if let Some(Outcome::Failed { verdict, detail }) = execution.outcome.clone() {
-            return self.send_to(attempt, ToEntry::Failed { attempt, verdict, detail }, actions);
+            return self.send_to_entry(
+                attempt,
+                ToEntry::Failed { attempt, verdict, detail },
+                actions,
+            );
         }
-        if !execution.answer.holds_from(next_chunk) {
-            return self.give_up_reader(attempt, run, actions);
+        if !execution.response.retains_from(next_chunk) {
+            return self.fail_reader(attempt, run, actions);
         }
         if execution.outcome.is_some() {
-            let settle_by = now.after(ANSWER_RETENTION_MS);
-            execution.settle_by = execution.settle_by.max(settle_by);
-            let retain_until = execution.retain_until.max(settle_by);
-            self.retain_until(run, retain_until);
+            let fetch_until = now.after(RESPONSE_RETENTION_MS);
+            execution.fetch_until = execution.fetch_until.max(fetch_until);
+            let retain_until = execution.retain_until.max(fetch_until);
+            self.set_retain_until(run, retain_until);
         }
-        let answer = &self.executions[&run].answer;
-        if let Some(head) = answer.head.clone() {
-            self.send_to(attempt, ToEntry::Head { attempt, head }, actions);
+        let response = &self.executions[&run].response;
+        if let Some(head) = response.head.clone() {
+            self.send_to_entry(attempt, ToEntry::Head { attempt, head }, actions);
         }
-        for chunk in answer.from(next_chunk) {
+        for chunk in response.chunks_from(next_chunk) {
             let (index, bytes) = (chunk.index, chunk.bytes.clone());
-            self.send_to(attempt, ToEntry::Chunk { attempt, index, bytes }, actions);
+            self.send_to_entry(attempt, ToEntry::Chunk { attempt, index, bytes }, actions);
         }
         if self.executions[&run].outcome.is_some() {
-            let (chunk_count, byte_count) = (answer.chunk_count(), answer.byte_count());
+            let (chunk_count, byte_count) = (response.chunk_count(), response.byte_count());
             let message = ToEntry::End { attempt, chunk_count, byte_count, load };
-            self.send_to(attempt, message, actions);
+            self.send_to_entry(attempt, message, actions);
         }
     }
 
-    /// Ends a reader whose missing chunks are no longer held.
-    fn give_up_reader(
-        &mut self,
-        attempt: AttemptId,
-        run: AttemptId,
-        actions: &mut Vec<AgentAction>,
-    ) {
+    /// Reports a failure to a reader whose missing chunks are no longer retained.
+    fn fail_reader(&mut self, attempt: AttemptId, run: AttemptId, actions: &mut Vec<AgentAction>) {
         let verdict = Verdict::Ran;
-        let detail = "chunks of the answer are no longer held".to_owned();
-        self.send_to(attempt, ToEntry::Failed { attempt, verdict, detail }, actions);
-        self.detach(attempt, run);
-        self.close(attempt, super::attempt::Closing::Ended { verdict });
+        let detail = "chunks of the response are no longer retained".to_owned();
+        self.send_to_entry(attempt, ToEntry::Failed { attempt, verdict, detail }, actions);
+        self.detach_reader(attempt, run);
+        self.set_final_state(attempt, super::attempt::FinalState::Ended { verdict });
     }
 }
--- a/crates/core/src/agent/snapshot.rs
+++ b/crates/core/src/agent/snapshot.rs
@@ -1,50 +1,50 @@
-//! What an agent shows of itself.
+//! Snapshot of an agent's state, for status views.
 
 use crate::message::Load;
 use crate::time::UnixMs;
 use hickorycross_config::{RouteId, Stamp};
 use serde::Serialize;
 
-/// State of an agent at one moment, for status views.
+/// State of an agent at one point in time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct AgentSnapshot {
-    /// The document in force.
+    /// Revision and digest of the document in force.
     pub stamp: Stamp,
-    /// Load, with the queue by tier.
+    /// Current load, with the queue length by tier.
     pub load: Load,
-    /// Open links.
+    /// Number of open links.
     pub links: u32,
-    /// Attempts of which a record is kept.
+    /// Number of attempts of which a record is kept.
     pub attempts: u32,
-    /// Answers of which something is held, running ones included.
+    /// Number of responses that are retained, including those of running requests.
     pub answers: u32,
-    /// Bytes held of all answers.
+    /// Size of all retained response chunks.
     pub retained_bytes: u64,
-    /// Idempotency keys within their horizon.
+    /// Number of used idempotency keys that are remembered.
     pub keys: u64,
-    /// Routes for which some keys may have run where this agent cannot know of it.
+    /// Routes with keys that may have run at another agent or an earlier incarnation.
     pub unknown_keys: Vec<UnknownKeys>,
-    /// Whether the agent is draining, and whether it has finished.
+    /// Progress of a graceful shutdown.
     pub drain: DrainState,
 }
 
-/// Until when keys of a route may count as unknown.
+/// A route with keys of which it is unknown whether they were used.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct UnknownKeys {
     /// The route.
     pub route: RouteId,
-    /// The moment from which on every key is known.
+    /// From this time on, all keys of the route are known.
     pub until: UnixMs,
 }
 
-/// How far a drain has come.
+/// Progress of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DrainState {
-    /// Not begun.
+    /// No shutdown was requested.
     Serving,
-    /// Begun, not finished.
+    /// Running requests and unfetched responses remain.
     Draining,
-    /// Nothing is left to finish.
+    /// Nothing remains; the process may exit.
     Drained,
 }
--- a/crates/core/src/agent/start.rs
+++ b/crates/core/src/agent/start.rs
@@ -1,13 +1,13 @@
-//! Starts of queued attempts.
+//! Starts queued attempts.
 
-use super::answer::Answer;
-use super::attempt::{Closing, Reading, Stage};
-use super::border::AgentAction;
+use super::attempt::{FinalState, ReadProgress, Stage};
 use super::core::AgentCore;
 use super::execution::Execution;
-use super::guard::{Starting, Violation};
-use super::key_judgement::KeyJudgement;
-use super::queue::Waiting;
+use super::guard::{PendingStart, Violation};
+use super::interface::AgentAction;
+use super::key_decision::KeyDecision;
+use super::queue::QueuedAttempt;
+use super::response_buffer::ResponseBuffer;
 use super::snapshot::DrainState;
 use crate::audit::Change;
 use crate::ids::{AttemptId, RequestId};
@@ -19,51 +19,52 @@
     /// Starts queued attempts while slots are free.
     pub(super) fn start_queued(&mut self, now: Now, actions: &mut Vec<AgentAction>) {
         while self.free_slots() > 0 {
-            let Some(attempt) = self.queue.next() else { return };
-            self.start_or_answer(now, attempt, actions);
+            let Some(attempt) = self.queue.next_attempt() else { return };
+            self.process_queued(now, attempt, actions);
         }
     }
 
-    /// Judges a queued attempt once more, then starts it.
+    /// Checks a queued attempt again, then starts it or replies otherwise.
     ///
-    /// Between its acceptance and this moment the process may have been paused: the deadline may
-    /// have passed, a copy of the request may have used its key, or the key's home may have moved.
-    fn start_or_answer(&mut self, now: Now, attempt: AttemptId, actions: &mut Vec<AgentAction>) {
+    /// Since it was accepted, its deadline may have passed during a pause of the process, another
+    /// attempt may have used its key, or the key's home may have moved.
+    fn process_queued(&mut self, now: Now, attempt: AttemptId, actions: &mut Vec<AgentAction>) {
         let Some(submit) = self.take_queued(attempt) else {
             self.queue.remove(&attempt);
             return;
         };
-        match self.judge_start(now, &submit) {
-            KeyJudgement::Run => self.start(now, &submit, actions),
-            KeyJudgement::Replay { run, .. } => self.read_instead(now, attempt, run, actions),
-            KeyJudgement::Used { earlier, verdict } => {
-                self.close_used(attempt, earlier, verdict, actions);
+        match self.decide_start(now, &submit) {
+            KeyDecision::Run => self.start(now, &submit, actions),
+            KeyDecision::Replay { run, .. } => self.read_earlier_run(now, attempt, run, actions),
+            KeyDecision::Used { earlier, verdict } => {
+                self.close_key_used(attempt, earlier, verdict, actions);
             }
-            KeyJudgement::Refuse { reason, .. } => self.hand_back(now, attempt, reason, actions),
+            KeyDecision::Refuse { reason, .. } => self.refuse_queued(now, attempt, reason, actions),
         }
     }
 
-    fn judge_start(&mut self, now: Now, submit: &Submit) -> KeyJudgement {
-        let judgement = match self.mechanisms.key_recheck_at_start {
-            true => self.judge_key(now, submit),
-            false => KeyJudgement::Run,
+    fn decide_start(&mut self, now: Now, submit: &Submit) -> KeyDecision {
+        let decision = match self.mechanisms.key_recheck_at_start {
+            true => self.decide_by_key(now, submit),
+            false => KeyDecision::Run,
         };
         if !self.mechanisms.deadline_recheck || !submit.deadline.is_past(now) {
-            return judgement;
+            return decision;
         }
         self.counters.expired_queued += 1;
         let reason = RefusalReason::Expired;
-        let refusal = KeyJudgement::Refuse { reason, retry_at: None };
-        self.used_instead(submit, judgement, reason).unwrap_or(refusal)
+        let refusal = KeyDecision::Refuse { reason, retry_at: None };
+        self.override_refusal(submit, decision, reason).unwrap_or(refusal)
     }
 
-    /// Takes the submit of a queued attempt; its row counts as refused until its fate is known.
+    /// Takes the submit out of a queued attempt, whose record stays tombstoned until the caller
+    /// sets its new stage.
     fn take_queued(&mut self, attempt: AttemptId) -> Option<Box<Submit>> {
         let row = self.attempts.get_mut(&attempt)?;
         if !matches!(row.stage, Stage::Queued(_)) {
             return None;
         }
-        match std::mem::replace(&mut row.stage, Stage::Closed(Closing::Tombstoned)) {
+        match std::mem::replace(&mut row.stage, Stage::Closed(FinalState::Tombstoned)) {
             Stage::Queued(submit) => Some(submit),
             Stage::Reading(_) | Stage::Closed(_) => None,
         }
@@ -73,11 +74,11 @@
         let attempt = submit.attempt;
         let Some(waiting) = self.queue.remove(&attempt) else { return };
         if let Err(violation) = self.check_start(now, submit) {
-            return self.stop_violation(now, attempt, violation, actions);
+            return self.reject_violation(now, attempt, violation, actions);
         }
-        self.guard.note_started(attempt, submit.deadline);
+        self.guard.record_started(attempt, submit.deadline);
         if let Some(key) = submit.key {
-            self.keys.start(key, attempt, submit.content);
+            self.keys.record_start(key, attempt, submit.content);
         }
         let charged_ms = u64::from(self.service.smoothed_ms()).max(1);
         self.queue.charge_start(&waiting, charged_ms);
@@ -92,9 +93,15 @@
         });
     }
 
-    fn insert_execution(&mut self, now: Now, submit: &Submit, waiting: &Waiting, charged_ms: u64) {
+    fn insert_execution(
+        &mut self,
+        now: Now,
+        submit: &Submit,
+        waiting: &QueuedAttempt,
+        charged_ms: u64,
+    ) {
         let run = submit.attempt;
-        let reading = Reading { run, received: 0, whole_at: UnixMs::NEVER };
+        let reading = ReadProgress { run, next_unacked_chunk: 0, fully_acked_at: UnixMs::NEVER };
         if let Some(row) = self.attempts.get_mut(&run) {
             row.stage = Stage::Reading(reading);
         }
@@ -108,11 +115,11 @@
             idempotent: submit.idempotent,
             started: now.unix_ms,
             charged_ms,
-            answer: Answer::default(),
+            response: ResponseBuffer::default(),
             replayable: submit.key.is_some(),
             aborting: false,
             outcome: None,
-            settle_by: UnixMs::NEVER,
+            fetch_until: UnixMs::NEVER,
             retain_until: UnixMs::NEVER,
         };
         self.executions.insert(run, execution);
@@ -122,19 +129,19 @@
         if !self.mechanisms.start_guard {
             return Ok(());
         }
-        let starting = Starting {
+        let pending = PendingStart {
             attempt: submit.attempt,
             deadline: submit.deadline,
             running: self.running.len() as u32,
             slots: self.slots(),
             draining: self.drain != DrainState::Serving,
-            key_used: self.key_was_run(now, submit),
+            key_used: self.has_earlier_run(now, submit),
         };
-        self.guard.check(now, &starting)
+        self.guard.check(now, &pending)
     }
 
-    /// Reports a broken invariant and gives the attempt up; the verdict claims nothing.
-    fn stop_violation(
+    /// Reports an invariant violation and fails the attempt as one that may have run.
+    fn reject_violation(
         &mut self,
         now: Now,
         attempt: AttemptId,
@@ -146,12 +153,12 @@
         self.audit(now, Change::InvariantViolated { detail: detail.clone() }, actions);
         let verdict = Verdict::MayHaveRun;
         if let Some(row) = self.attempts.get_mut(&attempt) {
-            row.stage = Stage::Closed(Closing::Ended { verdict });
+            row.stage = Stage::Closed(FinalState::Ended { verdict });
         }
-        self.send_to(attempt, ToEntry::Failed { attempt, verdict, detail }, actions);
+        self.send_to_entry(attempt, ToEntry::Failed { attempt, verdict, detail }, actions);
     }
 
-    fn read_instead(
+    fn read_earlier_run(
         &mut self,
         now: Now,
         attempt: AttemptId,
@@ -160,14 +167,15 @@
     ) {
         self.queue.remove(&attempt);
         if let Some(row) = self.attempts.get_mut(&attempt) {
-            let reading = Reading { run, received: 0, whole_at: UnixMs::NEVER };
+            let reading =
+                ReadProgress { run, next_unacked_chunk: 0, fully_acked_at: UnixMs::NEVER };
             row.stage = Stage::Reading(reading);
         }
-        self.begin_reading(now, attempt, run, actions);
+        self.add_reader(now, attempt, run, actions);
     }
 
-    /// Answers a queued attempt whose key turned out to be used.
-    pub(super) fn close_used(
+    /// Closes a queued attempt whose key turned out to be used.
+    pub(super) fn close_key_used(
         &mut self,
         attempt: AttemptId,
         earlier: Option<RequestId>,
@@ -177,8 +185,8 @@
         self.queue.remove(&attempt);
         self.counters.key_used += 1;
         if let Some(row) = self.attempts.get_mut(&attempt) {
-            row.stage = Stage::Closed(Closing::KeyUsed { earlier, verdict });
+            row.stage = Stage::Closed(FinalState::KeyUsed { earlier, verdict });
         }
-        self.send_to(attempt, ToEntry::KeyUsed { attempt, earlier, verdict }, actions);
+        self.send_to_entry(attempt, ToEntry::KeyUsed { attempt, earlier, verdict }, actions);
     }
 }
--- a/crates/core/src/agent/submit.rs
+++ b/crates/core/src/agent/submit.rs
@@ -1,10 +1,10 @@
-//! New attempts.
+//! Admission of submitted attempts.
 
-use super::attempt::{Closing, Reading, Stage};
-use super::border::AgentAction;
+use super::attempt::{FinalState, ReadProgress, Stage};
 use super::core::AgentCore;
-use super::key_judgement::KeyJudgement;
-use super::queue::{Place, Waiting};
+use super::interface::AgentAction;
+use super::key_decision::KeyDecision;
+use super::queue::{Admission, QueuedAttempt};
 use super::snapshot::DrainState;
 use crate::ids::{AttemptId, LinkId, RequestId};
 use crate::message::{RefusalReason, Submit, ToEntry};
@@ -12,9 +12,9 @@
 use crate::verdict::Verdict;
 
 impl AgentCore {
-    /// Answers a submit at once: accepted, refused with proof that it did not run, or answered by
-    /// the earlier run of its key.
-    pub(super) fn submit(
+    /// Handles a submit: queues it, refuses it as not run, or answers it from an earlier run of its
+    /// key.
+    pub(super) fn handle_submit(
         &mut self,
         now: Now,
         link: LinkId,
@@ -27,38 +27,39 @@
             let reason = RefusalReason::WrongIncarnation;
             return self.send_refusal(now, link, attempt, reason, None, actions);
         }
-        if self.answer_known(now, link, &submit, actions) {
+        if self.answer_duplicate(now, link, &submit, actions) {
             return;
         }
-        match self.judge_submit(now, &submit) {
-            KeyJudgement::Run => self.enqueue(now, link, submit, actions),
-            KeyJudgement::Replay { run, .. } => self.replay(now, link, &submit, run, actions),
-            KeyJudgement::Used { earlier, verdict } => {
-                self.refuse_used(link, &submit, earlier, verdict, actions);
+        match self.decide_submit(now, &submit) {
+            KeyDecision::Run => self.enqueue(now, link, submit, actions),
+            KeyDecision::Replay { run, .. } => self.replay_run(now, link, &submit, run, actions),
+            KeyDecision::Used { earlier, verdict } => {
+                self.refuse_key_used(link, &submit, earlier, verdict, actions);
             }
-            KeyJudgement::Refuse { reason, retry_at } => {
+            KeyDecision::Refuse { reason, retry_at } => {
                 self.refuse(now, link, &submit, reason, retry_at, actions);
             }
         }
     }
 
-    fn judge_submit(&mut self, now: Now, submit: &Submit) -> KeyJudgement {
-        let standing = self.standing_refusal(now, submit);
-        let judgement = match standing {
-            // Without the route, nothing can be said of the key.
-            Some(RefusalReason::UnknownRoute) => KeyJudgement::Run,
-            _ => self.judge_key(now, submit),
+    fn decide_submit(&mut self, now: Now, submit: &Submit) -> KeyDecision {
+        let state_reason = self.state_refusal(now, submit);
+        let decision = match state_reason {
+            // Without the route, the key cannot be checked.
+            Some(RefusalReason::UnknownRoute) => KeyDecision::Run,
+            _ => self.decide_by_key(now, submit),
         };
-        let Some(reason) = standing else { return judgement };
-        let refusal = KeyJudgement::Refuse { reason, retry_at: None };
-        self.used_instead(submit, judgement, reason).unwrap_or(refusal)
+        let Some(reason) = state_reason else { return decision };
+        let refusal = KeyDecision::Refuse { reason, retry_at: None };
+        self.override_refusal(submit, decision, reason).unwrap_or(refusal)
     }
 
-    /// Answers a copy of an attempt that is known, or that was known and is forgotten.
+    /// Replies to a duplicate submit, including one of an attempt that may have been forgotten.
+    /// Returns whether it was one.
     ///
-    /// Links may double a message or deliver it late. Without this a copy would run again, or a
-    /// copy of an attempt that ran long ago would be refused as if it had never run.
-    fn answer_known(
+    /// Messages may be duplicated or delayed. Without this check a copy would run again, or a copy
+    /// of an attempt that ran long ago would be refused as not run.
+    fn answer_duplicate(
         &mut self,
         now: Now,
         link: LinkId,
@@ -68,8 +69,8 @@
         let attempt = submit.attempt;
         if self.mechanisms.duplicate_detection && self.attempts.contains_key(&attempt) {
             self.counters.doubled_submits += 1;
-            self.adopt_link_if_lost(attempt, link);
-            self.repeat_acknowledgement(now, link, attempt, submit.deadline, actions);
+            self.attach_if_unlinked(attempt, link);
+            self.resend_acknowledgement(now, link, attempt, submit.deadline, actions);
             return true;
         }
         if !self.never_started(submit.deadline) {
@@ -80,8 +81,8 @@
         false
     }
 
-    /// A copy that comes on an open link is as good as an attachment when the first link is gone.
-    fn adopt_link_if_lost(&mut self, attempt: AttemptId, link: LinkId) {
+    /// Attaches an attempt whose link was closed to the link on which a copy of it arrived.
+    fn attach_if_unlinked(&mut self, attempt: AttemptId, link: LinkId) {
         let Some(row) = self.attempts.get_mut(&attempt).filter(|row| row.link.is_none()) else {
             return;
         };
@@ -89,7 +90,7 @@
         row.orphan_at = UnixMs::NEVER;
     }
 
-    fn repeat_acknowledgement(
+    fn resend_acknowledgement(
         &mut self,
         now: Now,
         link: LinkId,
@@ -98,16 +99,16 @@
         actions: &mut Vec<AgentAction>,
     ) {
         let Some(row) = self.attempts.get(&attempt) else { return };
-        if let Stage::Closed(closing) = row.stage {
-            return self.send_closing(now, link, attempt, deadline, closing, actions);
+        if let Stage::Closed(final_state) = row.stage {
+            return self.send_final_state(now, link, attempt, deadline, final_state, actions);
         }
         let message = ToEntry::Accepted { attempt, load: self.load(now) };
         actions.push(AgentAction::Send { link, message });
     }
 
-    /// What holds for every attempt, whatever its key.
-    fn standing_refusal(&self, now: Now, submit: &Submit) -> Option<RefusalReason> {
-        if !self.serves(submit) {
+    /// Returns the reason for which a submit is refused regardless of its key, if any.
+    fn state_refusal(&self, now: Now, submit: &Submit) -> Option<RefusalReason> {
+        if !self.serves_request(submit) {
             return Some(RefusalReason::UnknownRoute);
         }
         if submit.deadline.is_past(now) {
@@ -119,7 +120,7 @@
         (!self.healthy).then_some(RefusalReason::BackendDown)
     }
 
-    fn serves(&self, submit: &Submit) -> bool {
+    fn serves_request(&self, submit: &Submit) -> bool {
         let Some(document) = &self.document else { return false };
         let Some(route) = document.route(submit.route.as_str()) else { return false };
         let backends = document.backends_of(&route.target);
@@ -130,29 +131,29 @@
 
     fn enqueue(&mut self, now: Now, link: LinkId, submit: Submit, actions: &mut Vec<AgentAction>) {
         let attempt = submit.attempt;
-        let Some(waiting) = self.waiting_row(&submit) else { return };
-        let places = self.backend().map_or(0, |backend| backend.queue_slots) + self.free_slots();
-        match self.queue.place(waiting.rank, &waiting.team, places) {
-            Place::Free => {}
-            Place::Evict(victim) => {
+        let Some(waiting) = self.queued_attempt(&submit) else { return };
+        let capacity = self.backend().map_or(0, |backend| backend.queue_slots) + self.free_slots();
+        match self.queue.find_room(waiting.rank, &waiting.team, capacity) {
+            Admission::Free => {}
+            Admission::Evict(victim) => {
                 self.counters.evicted += 1;
-                self.hand_back(now, victim, RefusalReason::QueueFull, actions);
+                self.refuse_queued(now, victim, RefusalReason::QueueFull, actions);
             }
-            Place::Full => {
+            Admission::Full => {
                 let retry_at = self.retry_at(now, waiting.rank);
                 let reason = RefusalReason::QueueFull;
                 return self.refuse(now, link, &submit, reason, retry_at, actions);
             }
         }
         self.queue.push(attempt, waiting);
-        self.record(attempt, Some(link), submit.deadline, Stage::Queued(Box::new(submit)));
+        self.insert_attempt(attempt, Some(link), submit.deadline, Stage::Queued(Box::new(submit)));
         self.send_accepted(now, link, attempt, actions);
     }
 
-    /// The queue's row for an attempt; none when its tier is unknown.
-    pub(super) fn waiting_row(&self, submit: &Submit) -> Option<Waiting> {
+    /// Returns the queue's view of an attempt; none when its tier is unknown.
+    pub(super) fn queued_attempt(&self, submit: &Submit) -> Option<QueuedAttempt> {
         let tier = self.document.as_ref()?.tier(submit.tier.as_str())?;
-        Some(Waiting {
+        Some(QueuedAttempt {
             tier: submit.tier.clone(),
             rank: tier.rank,
             team: submit.team.clone(),
@@ -160,7 +161,7 @@
         })
     }
 
-    fn replay(
+    fn replay_run(
         &mut self,
         now: Now,
         link: LinkId,
@@ -169,14 +170,14 @@
         actions: &mut Vec<AgentAction>,
     ) {
         let attempt = submit.attempt;
-        let reading = Reading { run, received: 0, whole_at: UnixMs::NEVER };
-        self.record(attempt, Some(link), submit.deadline, Stage::Reading(reading));
+        let reading = ReadProgress { run, next_unacked_chunk: 0, fully_acked_at: UnixMs::NEVER };
+        self.insert_attempt(attempt, Some(link), submit.deadline, Stage::Reading(reading));
         self.send_accepted(now, link, attempt, actions);
-        self.begin_reading(now, attempt, run, actions);
+        self.add_reader(now, attempt, run, actions);
     }
 
-    /// Makes an attempt a reader of an earlier run of its key.
-    pub(super) fn begin_reading(
+    /// Adds an attempt to the readers of an earlier run of its key and sends the response so far.
+    pub(super) fn add_reader(
         &mut self,
         now: Now,
         attempt: AttemptId,
@@ -202,8 +203,10 @@
         actions.push(AgentAction::Send { link, message });
     }
 
-    /// Refuses a new attempt and keeps a record: a refusal says that the attempt will not run, so
-    /// a late copy must not be taken once the reason has gone.
+    /// Refuses a new attempt and records the refusal.
+    ///
+    /// A refusal states that the attempt will not run, so a late copy must not be accepted after
+    /// the reason has gone. Reasons that are permanent need no record.
     fn refuse(
         &mut self,
         now: Now,
@@ -213,15 +216,15 @@
         retry_at: Option<UnixMs>,
         actions: &mut Vec<AgentAction>,
     ) {
-        let holds_for_ever = matches!(reason, RefusalReason::Expired | RefusalReason::Leaving);
-        if self.mechanisms.refusal_records && !holds_for_ever {
-            let stage = Stage::Closed(Closing::Refused { reason, retry_at });
-            self.record(submit.attempt, Some(link), submit.deadline, stage);
+        let is_permanent = matches!(reason, RefusalReason::Expired | RefusalReason::Leaving);
+        if self.mechanisms.refusal_records && !is_permanent {
+            let stage = Stage::Closed(FinalState::Refused { reason, retry_at });
+            self.insert_attempt(submit.attempt, Some(link), submit.deadline, stage);
         }
         self.send_refusal(now, link, submit.attempt, reason, retry_at, actions);
     }
 
-    fn refuse_used(
+    fn refuse_key_used(
         &mut self,
         link: LinkId,
         submit: &Submit,
@@ -231,8 +234,8 @@
     ) {
         let attempt = submit.attempt;
         self.counters.key_used += 1;
-        let stage = Stage::Closed(Closing::KeyUsed { earlier, verdict });
-        self.record(attempt, Some(link), submit.deadline, stage);
+        let stage = Stage::Closed(FinalState::KeyUsed { earlier, verdict });
+        self.insert_attempt(attempt, Some(link), submit.deadline, stage);
         let message = ToEntry::KeyUsed { attempt, earlier, verdict };
         actions.push(AgentAction::Send { link, message });
     }
--- a/crates/core/src/agent/sweep.rs
+++ b/crates/core/src/agent/sweep.rs
@@ -1,9 +1,9 @@
-//! Systems that run over the tables at each tick.
+//! Expiry of state at each tick, and reaction to backend health changes.
 
-use super::attempt::{Closing, Stage};
-use super::border::AgentAction;
+use super::attempt::{FinalState, Stage};
 use super::core::AgentCore;
 use super::execution::Execution;
+use super::interface::AgentAction;
 use crate::audit::Change;
 use crate::ids::AttemptId;
 use crate::message::RefusalReason;
@@ -16,7 +16,7 @@
     pub(super) fn sweep(&mut self, now: Now, actions: &mut Vec<AgentAction>) {
         self.refuse_expired(now, actions);
         self.drop_orphans(now, actions);
-        self.drop_executions(now);
+        self.drop_expired_executions(now);
         self.forget_attempts(now);
         self.keys.sweep(now);
         self.homes.sweep(now);
@@ -31,14 +31,13 @@
         }
         for attempt in self.queue.expired(now) {
             self.counters.expired_queued += 1;
-            self.hand_back(now, attempt, RefusalReason::Expired, actions);
+            self.refuse_queued(now, attempt, RefusalReason::Expired, actions);
         }
     }
 
-    /// Gives up attempts for which no entry came back.
+    /// Drops attempts whose link was lost and to which no entry has reattached in time.
     ///
-    /// An entry that died leaves its attempts behind. They would hold slots for answers that nobody
-    /// reads; one would see load without entries.
+    /// Attempts of an entry that died would otherwise occupy slots for responses that nobody reads.
     fn drop_orphans(&mut self, now: Now, actions: &mut Vec<AgentAction>) {
         if !self.mechanisms.orphan_abort {
             return;
@@ -48,11 +47,11 @@
         for attempt in orphaned {
             match self.attempts.get(&attempt).map(|row| &row.stage) {
                 Some(Stage::Queued(_)) => {
-                    self.hand_back(now, attempt, RefusalReason::Revoked, actions);
+                    self.refuse_queued(now, attempt, RefusalReason::Revoked, actions);
                 }
                 Some(Stage::Reading(reading)) if self.running.contains(&reading.run) => {
                     let run = reading.run;
-                    self.detach(attempt, run);
+                    self.detach_reader(attempt, run);
                     if self.abort_if_unread(run, actions) {
                         self.counters.orphans_aborted += 1;
                     }
@@ -62,9 +61,10 @@
         }
     }
 
-    /// Aborts a run that no attempt reads any more. A non-idempotent request with a key goes on:
-    /// its caller can only learn the outcome by repeating the key, and an abort would leave it
-    /// half done.
+    /// Aborts a run without readers and returns whether it did.
+    ///
+    /// A non-idempotent request with a key keeps running: its caller can still learn the outcome by
+    /// repeating the key, and an abort could leave the operation half done.
     pub(super) fn abort_if_unread(
         &mut self,
         run: AttemptId,
@@ -82,8 +82,8 @@
         true
     }
 
-    fn drop_executions(&mut self, now: Now) {
-        let dropped = self.take_due_runs(now);
+    fn drop_expired_executions(&mut self, now: Now) {
+        let dropped = self.take_expired_runs(now);
         if dropped.is_empty() {
             return;
         }
@@ -93,19 +93,19 @@
         for row in self.attempts.values_mut() {
             let Stage::Reading(reading) = &row.stage else { continue };
             if let Some(verdict) = dropped.get(&reading.run) {
-                row.stage = Stage::Closed(Closing::Ended { verdict: *verdict });
+                row.stage = Stage::Closed(FinalState::Ended { verdict: *verdict });
             }
         }
     }
 
-    /// Removes the runs of which nothing is to be held any more.
-    fn take_due_runs(&mut self, now: Now) -> IndexMap<AttemptId, Verdict> {
+    /// Removes the runs whose retention has expired and returns their verdicts.
+    fn take_expired_runs(&mut self, now: Now) -> IndexMap<AttemptId, Verdict> {
         let mut dropped = IndexMap::new();
-        while let Some(Reverse(due)) = self.due_runs.peek().copied() {
+        while let Some(Reverse(due)) = self.retention_expiries.peek().copied() {
             if !due.retain_until.is_past(now) {
                 break;
             }
-            self.due_runs.pop();
+            self.retention_expiries.pop();
             let held = self.executions.get(&due.run);
             if held.is_some_and(|execution| execution.retain_until.is_past(now)) {
                 self.drop_chunks(due.run, u32::MAX);
@@ -116,7 +116,7 @@
         dropped
     }
 
-    /// Forgets attempts whose deadline has safely passed and whose answer nobody can want.
+    /// Forgets attempts whose deadline plus clock skew has passed and whose response is settled.
     fn forget_attempts(&mut self, now: Now) {
         let due = self.attempts.iter().filter(|(_, row)| row.forget_at.is_past(now));
         let due: Vec<AttemptId> = due.map(|(attempt, _)| *attempt).collect();
@@ -127,7 +127,7 @@
                 Stage::Reading(reading) if !self.is_settled(now, reading.run) => continue,
                 Stage::Reading(reading) => {
                     let run = reading.run;
-                    self.detach(attempt, run);
+                    self.detach_reader(attempt, run);
                 }
                 Stage::Closed(_) => {}
             }
@@ -142,26 +142,30 @@
         }
     }
 
-    /// Whether every reader of a run has its answer, or has had its time to fetch it.
+    /// Returns whether every reader of a finished run has acknowledged its response, or has had
+    /// enough time to fetch it.
     pub(super) fn is_settled(&self, now: Now, run: AttemptId) -> bool {
         let Some(execution) = self.executions.get(&run) else { return true };
         if execution.outcome.is_none() {
             return false;
         }
         let waits = self.mechanisms.drain_waits_for_acknowledgement;
-        !waits || execution.settle_by.is_past(now) || self.all_hold_it(now, execution)
+        !waits
+            || execution.fetch_until.is_past(now)
+            || self.all_readers_acknowledged(now, execution)
     }
 
-    fn all_hold_it(&self, now: Now, execution: &Execution) -> bool {
+    fn all_readers_acknowledged(&self, now: Now, execution: &Execution) -> bool {
         execution.readers.iter().all(|reader| {
             match self.attempts.get(reader).map(|row| &row.stage) {
-                Some(Stage::Reading(reading)) => reading.whole_at.is_past(now),
+                Some(Stage::Reading(reading)) => reading.fully_acked_at.is_past(now),
                 _ => true,
             }
         })
     }
 
-    /// Learns whether the backend server answers its health checks.
+    /// Handles a health check result. When the backend server goes down, all queued attempts are
+    /// refused, so that their entries can send them elsewhere.
     pub(super) fn backend_health(
         &mut self,
         now: Now,
@@ -182,18 +186,18 @@
         };
         self.audit(now, change, actions);
         if !healthy && self.mechanisms.refuse_queued_on_backend_down {
-            self.hand_back_all(now, RefusalReason::BackendDown, actions);
+            self.refuse_all_queued(now, RefusalReason::BackendDown, actions);
         }
     }
 
-    pub(super) fn hand_back_all(
+    pub(super) fn refuse_all_queued(
         &mut self,
         now: Now,
         reason: RefusalReason,
         actions: &mut Vec<AgentAction>,
     ) {
         for attempt in self.queue.ids() {
-            self.hand_back(now, attempt, reason, actions);
+            self.refuse_queued(now, attempt, reason, actions);
         }
     }
 }
--- a/crates/core/tests/agent_life.rs
+++ b/crates/core/tests/agent_life.rs
@@ -5,8 +5,8 @@
 use agent_rig::*;
 use hickorycross_config::{RouteId, TeamId};
 use hickorycross_core::agent::{
-    ADOPTION_SPREAD_MS, ANSWER_RETENTION_MS, AgentAction, AgentEvent, CLOCK_SKEW_BOUND_MS,
-    DEMAND_LIFE_MS, Mechanisms, ORPHAN_MS,
+    ADOPTION_SPREAD_MS, AgentAction, AgentEvent, CLOCK_SKEW_BOUND_MS, DEMAND_TTL_MS, Mechanisms,
+    ORPHAN_TIMEOUT_MS, RESPONSE_RETENTION_MS,
 };
 use hickorycross_core::message::{
     AgentState, KeyDigest, RefusalReason, ResponseHead, RevokeOutcome, Submit, TeamDemand, ToAgent,
@@ -166,7 +166,7 @@
         prepare: |rig| {
             rig.submit(Submit { deadline: UnixMs(START_MS + 90_000), ..submit(1) });
             rig.end(1);
-            rig.wait(ANSWER_RETENTION_MS);
+            rig.wait(RESPONSE_RETENTION_MS);
             rig.tick();
         },
         outcome: RevokeOutcome::Attached,
@@ -229,7 +229,7 @@
     rig.step(AgentEvent::LinkOpened { link: LinkId(2), entry: ENTRY });
     rig.attach(LinkId(2), 1, 0);
     rig.step(AgentEvent::LinkClosed { link: LINK });
-    rig.wait(ORPHAN_MS);
+    rig.wait(ORPHAN_TIMEOUT_MS);
     assert!(!aborted(&rig.tick()));
     let actions = rig.chunk(1, "piece");
     assert!(matches!(actions[..], [AgentAction::Send { link: LinkId(2), .. }]));
@@ -271,7 +271,7 @@
     let opened = rig.step(AgentEvent::LinkOpened { link: LinkId(2), entry: ENTRY });
     assert_eq!(sent(&opened), [&ToEntry::Leaving]);
     rig.end(1);
-    rig.wait(ANSWER_RETENTION_MS - 1);
+    rig.wait(RESPONSE_RETENTION_MS - 1);
     rig.tick();
     assert_eq!(drained(&rig.log), 0, "the answer may still be fetched");
     rig.wait(1);
@@ -307,7 +307,7 @@
     };
     rig.tell(demand(3.0));
     let both = rig.tell_on(LinkId(2), demand(4.0));
-    rig.wait(DEMAND_LIFE_MS);
+    rig.wait(DEMAND_TTL_MS);
     let one = rig.tell_on(LinkId(2), demand(f32::NAN));
     for (actions, requests_per_s, entries) in [(both, 7.0, 2), (one, 0.0, 1)] {
         let [ToEntry::Totals(totals)] = sent(&actions)[..] else { panic!("{actions:?}") };
--- a/crates/core/tests/agent_mechanisms.rs
+++ b/crates/core/tests/agent_mechanisms.rs
@@ -5,8 +5,8 @@
 
 use agent_rig::*;
 use hickorycross_core::agent::{
-    ANSWER_RETENTION_MS, AgentAction, AgentEvent, CLOCK_SKEW_BOUND_MS, Mechanisms, ORPHAN_MS,
-    RETAINED_BYTES_PER_ANSWER,
+    AgentAction, AgentEvent, CLOCK_SKEW_BOUND_MS, Mechanisms, ORPHAN_TIMEOUT_MS,
+    RESPONSE_RETENTION_MS, RETAINED_BYTES_PER_RESPONSE,
 };
 use hickorycross_core::message::{RefusalReason, RevokeOutcome, Submit, ToAgent};
 use hickorycross_core::{Incarnation, LinkId, UnixMs, Verdict};
@@ -117,7 +117,7 @@
     let mut rig = Rig::new(mechanisms);
     rig.submit(submit(1));
     rig.end(1);
-    rig.wait(10_000 + CLOCK_SKEW_BOUND_MS + ANSWER_RETENTION_MS);
+    rig.wait(10_000 + CLOCK_SKEW_BOUND_MS + RESPONSE_RETENTION_MS);
     rig.tick();
     check(rig.core.snapshot(rig.now).attempts == 0, "record kept for ever")?;
     let actions = rig.revoke(1, submit(1).deadline);
@@ -224,7 +224,7 @@
     let mut rig = Rig::new(mechanisms);
     rig.submit(submit(1));
     rig.step(AgentEvent::LinkClosed { link: LINK });
-    rig.wait(ORPHAN_MS - 1);
+    rig.wait(ORPHAN_TIMEOUT_MS - 1);
     check(!aborted(&rig.tick()), "aborted while its entry may come back")?;
     rig.wait(1);
     check(aborted(&rig.tick()), "runs on for nobody")
@@ -255,12 +255,12 @@
     let mut rig = Rig::new(mechanisms);
     rig.submit(submit(1));
     let piece = vec![0_u8; 1 << 20];
-    let pieces = 3 * RETAINED_BYTES_PER_ANSWER / piece.len() as u64;
+    let pieces = 3 * RETAINED_BYTES_PER_RESPONSE / piece.len() as u64;
     for _ in 0..pieces {
         rig.chunk(1, piece.clone());
     }
     let held = rig.core.snapshot(rig.now).retained_bytes;
-    check(held <= RETAINED_BYTES_PER_ANSWER, &format!("{held} bytes held"))?;
+    check(held <= RETAINED_BYTES_PER_RESPONSE, &format!("{held} bytes held"))?;
     check(failed(&rig.attach(LINK, 1, 0)) == Some(Verdict::Ran), "attached with a gap")
 }
 
