--- a/crates/core/src/agent/constants.rs
+++ b/crates/core/src/agent/constants.rs
@@ -45,4 +45,4 @@
 pub(crate) const SERVICE_SMOOTHING_DIVISOR: u64 = 8;
 
 /// Maximum jitter added to the suggested retry time, in thousandths of the wait.
-pub(crate) const RETRY_SPREAD_PERMILLE: u64 = 250;
+pub(crate) const RETRY_JITTER_PERMILLE: u64 = 250;
--- a/crates/core/src/agent/home_history.rs
+++ b/crates/core/src/agent/home_history.rs
@@ -81,13 +81,12 @@
     /// unknown for the whole key lifetime of the route, so that only a longer partition can cause
     /// this.
     pub(crate) fn is_unknown(&self, now: Now, route: &RouteId, key: KeyDigest) -> bool {
-        let is_created_after = |moment: UnixMs| {
-            let earliest_provable = moment.after(2 * CLOCK_SKEW_BOUND_MS);
+        let created_after = |time: UnixMs| {
+            let earliest_provable = time.after(2 * CLOCK_SKEW_BOUND_MS);
             key.created().is_some_and(|created| created >= earliest_provable)
         };
         self.former.iter().any(|former| {
-            let is_proven_unused =
-                former.backends.is_none() && is_created_after(former.active_until);
+            let is_proven_unused = former.backends.is_none() && created_after(former.active_until);
             former.route == *route
                 && !former.expires_at.is_past(now)
                 && !is_proven_unused
--- a/crates/core/src/agent/key_decision.rs
+++ b/crates/core/src/agent/key_decision.rs
@@ -118,7 +118,7 @@
     }
 
     /// Returns whether a start would be the second run of a non-idempotent key.
-    pub(super) fn has_earlier_run(&self, now: Now, submit: &Submit) -> bool {
+    pub(super) fn is_second_run(&self, now: Now, submit: &Submit) -> bool {
         let used = submit.key.is_some_and(|key| self.keys.get(now, key).is_some());
         used && !submit.idempotent
     }
--- a/crates/core/src/agent/load.rs
+++ b/crates/core/src/agent/load.rs
@@ -34,6 +34,7 @@
         self.document.as_ref()?.backend(self.identity.backend_server.as_str())
     }
 
+    /// Returns the number of requests that the backend server may run at once.
     pub(super) fn slots(&self) -> u32 {
         self.backend().map_or(0, |backend| backend.slots)
     }
--- a/crates/core/src/agent/queue.rs
+++ b/crates/core/src/agent/queue.rs
@@ -61,8 +61,10 @@
 #[derive(Debug, Default)]
 struct TierShare {
     floor_permille: u32,
+    /// Accumulated by the floor at every start, spent by starts of this tier.
     credit: u32,
     virtual_time_ms: u64,
+    /// Slot time charged to each team, in virtual time.
     charged_total_ms: IndexMap<TeamId, u64>,
 }
 
--- a/crates/core/src/agent/replies.rs
+++ b/crates/core/src/agent/replies.rs
@@ -1,7 +1,7 @@
 //! Replies and audit records shared by several modules.
 
 use super::attempt::{FinalState, Stage};
-use super::constants::RETRY_SPREAD_PERMILLE;
+use super::constants::RETRY_JITTER_PERMILLE;
 use super::core::AgentCore;
 use super::interface::AgentAction;
 use super::key_decision::KeyDecision;
@@ -102,7 +102,7 @@
         }
         let starts_ahead = u64::from(self.queue.ahead_of(rank)) + 1;
         let wait_ms = (service_ms * starts_ahead).div_ceil(slots);
-        let spread_permille = self.random.random_range(0..=RETRY_SPREAD_PERMILLE);
-        Some(now.after(wait_ms + wait_ms * spread_permille / 1_000))
+        let jitter_permille = self.random.random_range(0..=RETRY_JITTER_PERMILLE);
+        Some(now.after(wait_ms + wait_ms * jitter_permille / 1_000))
     }
 }
--- a/crates/core/src/agent/retention.rs
+++ b/crates/core/src/agent/retention.rs
@@ -56,15 +56,16 @@
     /// Drops the chunks of a run before an index.
     pub(super) fn drop_chunks(&mut self, run: AttemptId, before: u32) {
         let Some(execution) = self.executions.get_mut(&run) else { return };
-        let held_bytes = execution.response.retained_bytes();
+        let bytes_before = execution.response.retained_bytes();
         execution.response.drop_before(before);
-        self.retained_bytes -= held_bytes - execution.response.retained_bytes();
+        self.retained_bytes -= bytes_before - execution.response.retained_bytes();
     }
 
     fn retained_bytes_of(&self, run: AttemptId) -> u64 {
         self.executions.get(&run).map_or(0, |execution| execution.response.retained_bytes())
     }
 
+    /// Stops retaining the response of a run for repeats of its key.
     fn end_replayability(&mut self, run: AttemptId) {
         let Some(execution) = self.executions.get_mut(&run) else { return };
         execution.replayable = false;
@@ -81,6 +82,7 @@
         self.retention_expiries.push(Reverse(RetentionExpiry { retain_until, run }));
     }
 
+    /// Drops all chunks of a run because of a memory limit.
     fn discard_chunks(&mut self, run: AttemptId) {
         self.counters.answers_not_retained += 1;
         self.drop_chunks(run, u32::MAX);
--- a/crates/core/src/agent/run_events.rs
+++ b/crates/core/src/agent/run_events.rs
@@ -105,8 +105,8 @@
         let replayable = execution.replayable;
         let forget_at = self.key_expiry(now, run);
         let retain_until = now.after(RESPONSE_RETENTION_MS);
-        let for_repeats = forget_at.filter(|_| replayable).unwrap_or_default();
-        self.set_retain_until(run, retain_until.max(for_repeats));
+        let replay_until = forget_at.filter(|_| replayable).unwrap_or_default();
+        self.set_retain_until(run, retain_until.max(replay_until));
         let key = self.executions.get(&run).and_then(|execution| execution.key);
         let (Some(key), Some(forget_at)) = (key, forget_at) else { return };
         self.keys.record_end(key, run, verdict, forget_at);
--- a/crates/core/src/agent/start.rs
+++ b/crates/core/src/agent/start.rs
@@ -135,7 +135,7 @@
             running: self.running.len() as u32,
             slots: self.slots(),
             draining: self.drain != DrainState::Serving,
-            key_used: self.has_earlier_run(now, submit),
+            key_used: self.is_second_run(now, submit),
         };
         self.guard.check(now, &pending)
     }
--- a/crates/core/src/agent/submit.rs
+++ b/crates/core/src/agent/submit.rs
@@ -120,6 +120,7 @@
         (!self.healthy).then_some(RefusalReason::BackendDown)
     }
 
+    /// Returns whether the document assigns the request's route to this backend server.
     fn serves_request(&self, submit: &Submit) -> bool {
         let Some(document) = &self.document else { return false };
         let Some(route) = document.route(submit.route.as_str()) else { return false };
--- a/crates/core/src/agent/sweep.rs
+++ b/crates/core/src/agent/sweep.rs
@@ -13,6 +13,7 @@
 use std::cmp::Reverse;
 
 impl AgentCore {
+    /// Handles a tick: removes everything that has expired.
     pub(super) fn sweep(&mut self, now: Now, actions: &mut Vec<AgentAction>) {
         self.refuse_expired(now, actions);
         self.drop_orphans(now, actions);
@@ -190,6 +191,7 @@
         }
     }
 
+    /// Refuses all queued attempts, so that their entries can send them elsewhere.
     pub(super) fn refuse_all_queued(
         &mut self,
         now: Now,
