--- a/crates/core/tests/agent_harness/mod.rs
+++ b/crates/core/tests/agent_harness/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests of the agent share: one document, one agent under virtual time, short names.
+//! Harness for the agent tests: a document, one agent under virtual time, and helpers to send
+//! events and inspect actions.
 
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
@@ -17,12 +18,12 @@
 use hickorycross_core::{AttemptId, Incarnation, LinkId, Now, RequestId, UnixMs, Verdict};
 use std::sync::Arc;
 
-/// Start of every test's time.
+/// Virtual time at which every test starts.
 pub(crate) const START_MS: u64 = 1_000_000;
 pub(crate) const KEY_HORIZON_MS: u32 = 60_000;
 pub(crate) const MAX_DEADLINE_MS: u32 = 30_000;
-/// A span after which every key of a fresh agent is known.
-pub(crate) const WARM_MS: u64 = 200_000;
+/// Time after the start of an agent when all its keys are known.
+pub(crate) const KEYS_KNOWN_AFTER_MS: u64 = 200_000;
 pub(crate) const AGENT: Incarnation = Incarnation(7);
 pub(crate) const ENTRY: Incarnation = Incarnation(100);
 pub(crate) const LINK: LinkId = LinkId(1);
@@ -37,7 +38,7 @@
         teams: vec![team("hog"), team("mouse")],
         backend_servers: ["b0", "b1", "b2"].map(backend).to_vec(),
         model_groups: Vec::new(),
-        routes: vec![route("read", true, &["b0", "b1"]), route("lodge", false, &["b0", "b1"])],
+        routes: vec![route("read", true, &["b0", "b1"]), route("create", false, &["b0", "b1"])],
         balance: Balance {
             skew_weight: 1.0,
             rebalance_cost_weight: 1.0,
@@ -81,13 +82,13 @@
     }
 }
 
-/// A plain key whose home on a route is a given backend server.
-pub(crate) fn key_at(document: &Document, route: &str, home: &str) -> KeyDigest {
-    keys_at(document, route, home).next().expect("some key has its home there")
+/// Returns a plain key whose home on a route is the given backend server.
+pub(crate) fn key_with_home(document: &Document, route: &str, home: &str) -> KeyDigest {
+    keys_with_home(document, route, home).next().expect("a key with this home")
 }
 
-/// Plain keys whose home on a route is a given backend server.
-pub(crate) fn keys_at<'a>(
+/// Returns plain keys whose home on a route is the given backend server.
+pub(crate) fn keys_with_home<'a>(
     document: &'a Document,
     route: &'a str,
     home: &'a str,
@@ -96,10 +97,16 @@
     keys.filter(move |key| is_home(document, route, *key, home))
 }
 
-/// A key made at a moment, as a UUID of version 7, whose home on a route is a given server.
-pub(crate) fn stamped_key_at(document: &Document, route: &str, home: &str, made: u64) -> KeyDigest {
+/// Returns a UUID version 7 key with the given creation time whose home on a route is the given
+/// backend server.
+pub(crate) fn timestamped_key_with_home(
+    document: &Document,
+    route: &str,
+    home: &str,
+    created_ms: u64,
+) -> KeyDigest {
     let mut keys = (0..1_000).map(|number| {
-        let hex = format!("{made:012x}");
+        let hex = format!("{created_ms:012x}");
         let text = format!("{}-{}-7000-8000-{number:012x}", &hex[..8], &hex[8..]);
         KeyDigest::of(&TeamId::new("hog"), &text)
     });
@@ -115,7 +122,8 @@
     AttemptId { request: RequestId { entry: ENTRY, sequence }, ordinal: 0 }
 }
 
-/// An idempotent request of team `hog` in tier `gold`, due ten seconds after the start.
+/// Returns an idempotent request of team `hog` in tier `gold` with a deadline ten seconds after
+/// [`START_MS`].
 pub(crate) fn submit(sequence: u64) -> Submit {
     Submit {
         attempt: attempt(sequence),
@@ -132,23 +140,23 @@
     }
 }
 
-/// A non-idempotent request with a key, due ten seconds after `now`.
-pub(crate) fn lodge(sequence: u64, key: KeyDigest, now: Now) -> Submit {
+/// Returns a non-idempotent request with a key and a deadline ten seconds after `now`.
+pub(crate) fn keyed_submit(sequence: u64, key: KeyDigest, now: Now) -> Submit {
     let deadline = now.after(10_000);
-    let route = RouteId::new("lodge");
+    let route = RouteId::new("create");
     Submit { route, idempotent: false, key: Some(key), deadline, ..submit(sequence) }
 }
 
 /// One agent beside `b0` under virtual time.
-pub(crate) struct Rig {
+pub(crate) struct Harness {
     pub(crate) core: AgentCore,
     pub(crate) now: Now,
     pub(crate) log: Vec<AgentAction>,
     revision: u64,
 }
 
-impl Rig {
-    /// An agent with the fixture's document and one open link.
+impl Harness {
+    /// Creates an agent with the default document and one open link.
     pub(crate) fn new(mechanisms: Mechanisms) -> Self {
         Self::with_document(mechanisms, document())
     }
@@ -156,32 +164,32 @@
     pub(crate) fn with_document(mechanisms: Mechanisms, document: Document) -> Self {
         let identity = AgentIdentity { incarnation: AGENT, backend_server: "b0".into() };
         let core = AgentCore::with_mechanisms(identity, 1, mechanisms);
-        let mut rig = Self { core, now: Now::at(START_MS), log: Vec::new(), revision: 0 };
-        rig.adopt(document);
-        rig.step(AgentEvent::LinkOpened { link: LINK, entry: ENTRY });
-        rig
+        let mut harness = Self { core, now: Now::at(START_MS), log: Vec::new(), revision: 0 };
+        harness.adopt(document);
+        harness.handle(AgentEvent::LinkOpened { link: LINK, entry: ENTRY });
+        harness
     }
 
-    /// An agent that has lived long enough to know every key.
-    pub(crate) fn warm(mechanisms: Mechanisms) -> Self {
-        let mut rig = Self::new(mechanisms);
-        rig.wait(WARM_MS);
-        rig.tick();
-        rig
+    /// Creates an agent that has been running long enough for all keys to be known.
+    pub(crate) fn with_known_keys(mechanisms: Mechanisms) -> Self {
+        let mut harness = Self::new(mechanisms);
+        harness.advance(KEYS_KNOWN_AFTER_MS);
+        harness.tick();
+        harness
     }
 
     pub(crate) fn adopt(&mut self, document: Document) -> Vec<AgentAction> {
         self.revision += 1;
         let stamp = Stamp { revision: self.revision, digest: Digest(self.revision) };
-        self.step(AgentEvent::Adopted { stamp, document: Arc::new(document) })
+        self.handle(AgentEvent::Adopted { stamp, document: Arc::new(document) })
     }
 
-    /// Lets time pass without an event, as a pause of the process does.
-    pub(crate) fn wait(&mut self, span_ms: u64) {
+    /// Advances the time without an event, like a pause of the process.
+    pub(crate) fn advance(&mut self, span_ms: u64) {
         self.now = Now { unix_ms: self.now.after(span_ms) };
     }
 
-    pub(crate) fn step(&mut self, event: AgentEvent) -> Vec<AgentAction> {
+    pub(crate) fn handle(&mut self, event: AgentEvent) -> Vec<AgentAction> {
         let mut actions = Vec::new();
         self.core.handle(self.now, event, &mut actions);
         self.log.extend(actions.iter().cloned());
@@ -189,24 +197,24 @@
     }
 
     pub(crate) fn tick(&mut self) -> Vec<AgentAction> {
-        self.step(AgentEvent::Tick)
+        self.handle(AgentEvent::Tick)
     }
 
-    pub(crate) fn tell(&mut self, message: ToAgent) -> Vec<AgentAction> {
-        self.tell_on(LINK, message)
+    pub(crate) fn send_message(&mut self, message: ToAgent) -> Vec<AgentAction> {
+        self.send_message_on(LINK, message)
     }
 
-    pub(crate) fn tell_on(&mut self, link: LinkId, message: ToAgent) -> Vec<AgentAction> {
-        self.step(AgentEvent::Message { link, message })
+    pub(crate) fn send_message_on(&mut self, link: LinkId, message: ToAgent) -> Vec<AgentAction> {
+        self.handle(AgentEvent::Message { link, message })
     }
 
     pub(crate) fn submit(&mut self, submit: Submit) -> Vec<AgentAction> {
-        self.tell(ToAgent::Submit(Box::new(submit)))
+        self.send_message(ToAgent::Submit(Box::new(submit)))
     }
 
     pub(crate) fn revoke(&mut self, sequence: u64, deadline: UnixMs) -> Vec<AgentAction> {
         let attempt = attempt(sequence);
-        self.tell(ToAgent::Revoke { attempt, agent: AGENT, deadline, next_chunk: 0 })
+        self.send_message(ToAgent::Revoke { attempt, agent: AGENT, deadline, next_chunk: 0 })
     }
 
     pub(crate) fn attach(
@@ -216,34 +224,34 @@
         next_chunk: u32,
     ) -> Vec<AgentAction> {
         let attempt = attempt(sequence);
-        self.tell_on(link, ToAgent::Attach { attempt, agent: AGENT, next_chunk })
+        self.send_message_on(link, ToAgent::Attach { attempt, agent: AGENT, next_chunk })
     }
 
     pub(crate) fn received(&mut self, sequence: u64, next_chunk: u32) -> Vec<AgentAction> {
-        self.tell(ToAgent::Received { attempt: attempt(sequence), next_chunk })
+        self.send_message(ToAgent::Received { attempt: attempt(sequence), next_chunk })
     }
 
     pub(crate) fn chunk(&mut self, sequence: u64, bytes: impl Into<Bytes>) -> Vec<AgentAction> {
         let bytes = bytes.into();
-        self.step(AgentEvent::BackendChunk { attempt: attempt(sequence), bytes })
+        self.handle(AgentEvent::BackendChunk { attempt: attempt(sequence), bytes })
     }
 
     pub(crate) fn end(&mut self, sequence: u64) -> Vec<AgentAction> {
-        self.step(AgentEvent::BackendEnd { attempt: attempt(sequence) })
+        self.handle(AgentEvent::BackendEnd { attempt: attempt(sequence) })
     }
 
     pub(crate) fn fail(&mut self, sequence: u64, verdict: Verdict) -> Vec<AgentAction> {
         let detail = "test".to_owned();
-        self.step(AgentEvent::BackendFailed { attempt: attempt(sequence), verdict, detail })
+        self.handle(AgentEvent::BackendFailed { attempt: attempt(sequence), verdict, detail })
     }
 
-    /// How often an attempt was started.
+    /// Returns how often an attempt was started.
     pub(crate) fn starts(&self, sequence: u64) -> usize {
         started(&self.log).iter().filter(|id| **id == attempt(sequence)).count()
     }
 }
 
-/// Attempts started by some actions, in order.
+/// Returns the attempts started by some actions, in order.
 pub(crate) fn started(actions: &[AgentAction]) -> Vec<AttemptId> {
     let starts = actions.iter().filter_map(|action| match action {
         AgentAction::Start { attempt, .. } => Some(*attempt),
@@ -252,7 +260,7 @@
     starts.collect()
 }
 
-/// Messages sent by some actions, in order.
+/// Returns the messages sent by some actions, in order.
 pub(crate) fn sent(actions: &[AgentAction]) -> Vec<&ToEntry> {
     let messages = actions.iter().filter_map(|action| match action {
         AgentAction::Send { message, .. } => Some(message),
@@ -261,12 +269,12 @@
     messages.collect()
 }
 
-/// What the first fitting message says.
+/// Returns the value that `pick` takes from the first matching message.
 fn first<T>(actions: &[AgentAction], pick: impl Fn(&ToEntry) -> Option<T>) -> Option<T> {
     sent(actions).into_iter().find_map(pick)
 }
 
-macro_rules! says {
+macro_rules! message_field {
     ($(#[$doc:meta])* $name:ident -> $what:ty, $message:pat => $value:expr) => {
         $(#[$doc])*
         pub(crate) fn $name(actions: &[AgentAction]) -> Option<$what> {
@@ -278,15 +286,15 @@
     };
 }
 
-says!(revoked -> RevokeOutcome, ToEntry::Revoked { outcome, .. } => *outcome);
-says!(failed -> Verdict, ToEntry::Failed { verdict, .. } => *verdict);
-says!(key_used -> Verdict, ToEntry::KeyUsed { verdict, .. } => *verdict);
-says!(
-    /// Chunks and bytes named by an end marker.
+message_field!(revoked -> RevokeOutcome, ToEntry::Revoked { outcome, .. } => *outcome);
+message_field!(failed -> Verdict, ToEntry::Failed { verdict, .. } => *verdict);
+message_field!(key_used -> Verdict, ToEntry::KeyUsed { verdict, .. } => *verdict);
+message_field!(
+    /// Chunk and byte counts of an end marker.
     end_counts -> (u32, u64),
     ToEntry::End { chunk_count, byte_count, .. } => (*chunk_count, *byte_count)
 );
-says!(retry_at -> Option<UnixMs>, ToEntry::Refused { retry_at, .. } => *retry_at);
+message_field!(retry_at -> Option<UnixMs>, ToEntry::Refused { retry_at, .. } => *retry_at);
 
 pub(crate) fn accepted(actions: &[AgentAction], sequence: u64) -> bool {
     sent(actions).into_iter().any(|message| {
@@ -294,7 +302,7 @@
     })
 }
 
-/// The reason for which an attempt was refused.
+/// Returns the reason for which an attempt was refused.
 pub(crate) fn refused(actions: &[AgentAction], sequence: u64) -> Option<RefusalReason> {
     first(actions, |message| match message {
         ToEntry::Refused { attempt: id, reason, .. } if *id == attempt(sequence) => Some(*reason),
@@ -302,7 +310,7 @@
     })
 }
 
-/// Indexes of the chunks sent.
+/// Returns the indexes of the chunks sent.
 pub(crate) fn chunks(actions: &[AgentAction]) -> Vec<u32> {
     let indexes = sent(actions).into_iter().filter_map(|message| match message {
         ToEntry::Chunk { index, .. } => Some(*index),
@@ -327,20 +335,20 @@
     actions.iter().filter(broken).count()
 }
 
-/// A mechanism that can be taken out.
+/// A mechanism that can be disabled.
 pub(crate) struct Mechanism {
     pub(crate) name: &'static str,
-    off: fn(&mut Mechanisms),
+    disable: fn(&mut Mechanisms),
 }
 
 impl Mechanism {
-    pub(crate) const fn new(name: &'static str, off: fn(&mut Mechanisms)) -> Self {
-        Self { name, off }
+    pub(crate) const fn new(name: &'static str, disable: fn(&mut Mechanisms)) -> Self {
+        Self { name, disable }
     }
 
-    /// Takes it out.
+    /// Returns the mechanisms with this one disabled.
     pub(crate) fn without(&self, mut mechanisms: Mechanisms) -> Mechanisms {
-        (self.off)(&mut mechanisms);
+        (self.disable)(&mut mechanisms);
         mechanisms
     }
 }
@@ -348,7 +356,7 @@
 #[allow(unused_macros, reason = "each test program uses a part of this file")]
 macro_rules! mechanisms {
     ($($field:ident),+ $(,)?) => {
-        &[$($crate::agent_rig::Mechanism::new(
+        &[$($crate::agent_harness::Mechanism::new(
             stringify!($field),
             |mechanisms| mechanisms.$field = false,
         )),+]
--- a/crates/core/tests/agent_lifecycle.rs
+++ b/crates/core/tests/agent_lifecycle.rs
@@ -1,8 +1,8 @@
-//! The agent's answers in each state of an attempt, a key and a drain.
+//! Tests the agent's replies in each state of an attempt, a key and a drain.
 
-mod agent_rig;
+mod agent_harness;
 
-use agent_rig::*;
+use agent_harness::*;
 use hickorycross_config::{RouteId, TeamId};
 use hickorycross_core::agent::{
     ADOPTION_SPREAD_MS, AgentAction, AgentEvent, CLOCK_SKEW_BOUND_MS, DEMAND_TTL_MS, Mechanisms,
@@ -14,28 +14,29 @@
 };
 use hickorycross_core::{Incarnation, LinkId, UnixMs, Verdict};
 
-fn rig() -> Rig {
-    Rig::new(Mechanisms::default())
+fn harness() -> Harness {
+    Harness::new(Mechanisms::default())
 }
 
 #[test]
-fn an_answer_goes_back_in_numbered_pieces_with_its_counts() {
-    let mut rig = rig();
-    assert!(accepted(&rig.submit(submit(1)), 1));
-    assert_eq!(rig.starts(1), 1);
+fn response_is_forwarded_in_indexed_chunks_with_totals() {
+    let mut harness = harness();
+    assert!(accepted(&harness.submit(submit(1)), 1));
+    assert_eq!(harness.starts(1), 1);
     let head = ResponseHead { status: 200, headers: Vec::new() };
-    let actions = rig.step(AgentEvent::BackendHead { attempt: attempt(1), head: head.clone() });
+    let actions =
+        harness.handle(AgentEvent::BackendHead { attempt: attempt(1), head: head.clone() });
     assert_eq!(sent(&actions), [&ToEntry::Head { attempt: attempt(1), head }]);
-    assert_eq!(chunks(&rig.chunk(1, "ab")), [0]);
-    assert_eq!(chunks(&rig.chunk(1, "c")), [1]);
-    assert_eq!(end_counts(&rig.end(1)), Some((2, 3)));
-    assert!(rig.chunk(1, "late").is_empty());
-    assert_eq!(rig.core.counters().late_backend_events, 1);
+    assert_eq!(chunks(&harness.chunk(1, "ab")), [0]);
+    assert_eq!(chunks(&harness.chunk(1, "c")), [1]);
+    assert_eq!(end_counts(&harness.end(1)), Some((2, 3)));
+    assert!(harness.chunk(1, "late").is_empty());
+    assert_eq!(harness.core.counters().late_backend_events, 1);
 }
 
 struct RefusalCase {
     name: &'static str,
-    prepare: fn(&mut Rig),
+    prepare: fn(&mut Harness),
     change: fn(&mut Submit),
     reason: RefusalReason,
 }
@@ -55,50 +56,50 @@
     },
     RefusalCase {
         name: "route no longer served here",
-        prepare: |rig| {
+        prepare: |harness| {
             let mut after = document();
             after.routes[0] = route("read", true, &["b1"]);
-            rig.adopt(after);
+            harness.adopt(after);
         },
         change: |_| {},
         reason: RefusalReason::UnknownRoute,
     },
     RefusalCase {
         name: "deadline passed",
-        prepare: |rig| rig.wait(10_000),
+        prepare: |harness| harness.advance(10_000),
         change: |_| {},
         reason: RefusalReason::Expired,
     },
     RefusalCase {
         name: "leaving",
-        prepare: |rig| drop(rig.step(AgentEvent::Drain)),
+        prepare: |harness| drop(harness.handle(AgentEvent::Drain)),
         change: |_| {},
         reason: RefusalReason::Leaving,
     },
     RefusalCase {
         name: "backend server down",
-        prepare: |rig| drop(rig.step(AgentEvent::BackendHealth { healthy: false })),
+        prepare: |harness| drop(harness.handle(AgentEvent::BackendHealth { healthy: false })),
         change: |_| {},
         reason: RefusalReason::BackendDown,
     },
 ];
 
 #[test]
-fn each_refusal_names_its_reason_and_nothing_starts() {
+fn refused_submit_names_its_reason_and_never_starts() {
     for case in REFUSALS {
-        let mut rig = rig();
-        (case.prepare)(&mut rig);
+        let mut harness = harness();
+        (case.prepare)(&mut harness);
         let mut submit = submit(1);
         (case.change)(&mut submit);
-        let actions = rig.submit(submit);
+        let actions = harness.submit(submit);
         assert_eq!(refused(&actions, 1), Some(case.reason), "{}", case.name);
-        assert_eq!(rig.starts(1), 0, "{}", case.name);
+        assert_eq!(harness.starts(1), 0, "{}", case.name);
     }
 }
 
 struct RevokeCase {
     name: &'static str,
-    prepare: fn(&mut Rig),
+    prepare: fn(&mut Harness),
     outcome: RevokeOutcome,
     failed: Option<Verdict>,
     starts: usize,
@@ -106,7 +107,7 @@
 
 const REVOKES: &[RevokeCase] = &[
     RevokeCase {
-        name: "never seen",
+        name: "unknown attempt",
         prepare: |_| {},
         outcome: RevokeOutcome::Tombstoned,
         failed: None,
@@ -114,9 +115,9 @@
     },
     RevokeCase {
         name: "queued",
-        prepare: |rig| {
-            rig.submit(submit(0));
-            rig.submit(submit(1));
+        prepare: |harness| {
+            harness.submit(submit(0));
+            harness.submit(submit(1));
         },
         outcome: RevokeOutcome::Tombstoned,
         failed: None,
@@ -124,10 +125,10 @@
     },
     RevokeCase {
         name: "refused before",
-        prepare: |rig| {
-            rig.step(AgentEvent::BackendHealth { healthy: false });
-            rig.submit(submit(1));
-            rig.step(AgentEvent::BackendHealth { healthy: true });
+        prepare: |harness| {
+            harness.handle(AgentEvent::BackendHealth { healthy: false });
+            harness.submit(submit(1));
+            harness.handle(AgentEvent::BackendHealth { healthy: true });
         },
         outcome: RevokeOutcome::Tombstoned,
         failed: None,
@@ -135,39 +136,39 @@
     },
     RevokeCase {
         name: "running",
-        prepare: |rig| drop(rig.submit(submit(1))),
+        prepare: |harness| drop(harness.submit(submit(1))),
         outcome: RevokeOutcome::Attached,
         failed: None,
         starts: 1,
     },
     RevokeCase {
-        name: "failed before the backend server got a byte",
-        prepare: |rig| {
-            rig.submit(submit(1));
-            rig.fail(1, Verdict::NotRun);
+        name: "failed before any byte reached the backend server",
+        prepare: |harness| {
+            harness.submit(submit(1));
+            harness.fail(1, Verdict::NotRun);
         },
         outcome: RevokeOutcome::Attached,
         failed: Some(Verdict::NotRun),
         starts: 1,
     },
     RevokeCase {
-        name: "failed after a piece of the answer, whatever the program says",
-        prepare: |rig| {
-            rig.submit(submit(1));
-            rig.chunk(1, "piece");
-            rig.fail(1, Verdict::NotRun);
+        name: "failed after part of the response, although reported as not run",
+        prepare: |harness| {
+            harness.submit(submit(1));
+            harness.chunk(1, "chunk");
+            harness.fail(1, Verdict::NotRun);
         },
         outcome: RevokeOutcome::Attached,
         failed: Some(Verdict::Ran),
         starts: 1,
     },
     RevokeCase {
-        name: "whole, and no longer held",
-        prepare: |rig| {
-            rig.submit(Submit { deadline: UnixMs(START_MS + 90_000), ..submit(1) });
-            rig.end(1);
-            rig.wait(RESPONSE_RETENTION_MS);
-            rig.tick();
+        name: "complete, and no longer retained",
+        prepare: |harness| {
+            harness.submit(Submit { deadline: UnixMs(START_MS + 90_000), ..submit(1) });
+            harness.end(1);
+            harness.advance(RESPONSE_RETENTION_MS);
+            harness.tick();
         },
         outcome: RevokeOutcome::Attached,
         failed: Some(Verdict::Ran),
@@ -176,122 +177,119 @@
 ];
 
 #[test]
-fn a_revocation_tells_what_is_known_and_a_late_copy_never_runs() {
+fn revocation_reports_what_is_known_and_late_copies_never_run() {
     for case in REVOKES {
-        let mut rig = rig();
-        (case.prepare)(&mut rig);
-        let actions = rig.revoke(1, UnixMs(START_MS + 90_000));
+        let mut harness = harness();
+        (case.prepare)(&mut harness);
+        let actions = harness.revoke(1, UnixMs(START_MS + 90_000));
         assert_eq!(revoked(&actions), Some(case.outcome), "{}", case.name);
         assert_eq!(failed(&actions), case.failed, "{}", case.name);
-        rig.submit(Submit { deadline: UnixMs(START_MS + 90_000), ..submit(1) });
-        rig.end(0);
-        assert_eq!(rig.starts(1), case.starts, "{}", case.name);
+        harness.submit(Submit { deadline: UnixMs(START_MS + 90_000), ..submit(1) });
+        harness.end(0);
+        assert_eq!(harness.starts(1), case.starts, "{}", case.name);
     }
 }
 
 #[test]
-fn another_incarnation_is_told_apart() {
-    let mut rig = rig();
+fn messages_for_another_incarnation_are_rejected() {
+    let mut harness = harness();
     let (agent, deadline) = (Incarnation(6), UnixMs(START_MS + 10_000));
     let message = ToAgent::Revoke { attempt: attempt(1), agent, deadline, next_chunk: 0 };
-    assert_eq!(revoked(&rig.tell(message)), Some(RevokeOutcome::UnknownIncarnation));
+    assert_eq!(revoked(&harness.send_message(message)), Some(RevokeOutcome::UnknownIncarnation));
     let attach = ToAgent::Attach { attempt: attempt(1), agent, next_chunk: 0 };
-    assert_eq!(failed(&rig.tell(attach)), Some(Verdict::MayHaveRun));
+    assert_eq!(failed(&harness.send_message(attach)), Some(Verdict::MayHaveRun));
 }
 
-// Symptom: an entry takes a request for refused that runs later.
-// Sequence: the attachment overtakes the submit on another stream.
-// Cause: no record taken for proof. The answer must claim nothing.
+// An attach may overtake its submit on another stream. Without a record the agent must not claim
+// that the attempt did not run, since it still may.
 #[test]
-fn an_attachment_without_a_record_claims_nothing() {
-    let mut rig = rig();
-    assert_eq!(failed(&rig.attach(LINK, 1, 0)), Some(Verdict::MayHaveRun));
-    assert!(accepted(&rig.submit(submit(1)), 1));
+fn attach_without_record_reports_may_have_run() {
+    let mut harness = harness();
+    assert_eq!(failed(&harness.attach(LINK, 1, 0)), Some(Verdict::MayHaveRun));
+    assert!(accepted(&harness.submit(submit(1)), 1));
 }
 
-// Symptom: a cancelled request runs.
-// Sequence: the cancellation overtakes the submit.
-// Cause: a cancellation of an unseen attempt forgotten at once.
+// A cancelled request must not run when its cancellation overtakes its submit.
 #[test]
-fn a_cancellation_that_overtakes_the_submit_holds() {
-    let mut rig = rig();
-    rig.tell(ToAgent::Cancel { attempt: attempt(1) });
-    assert_eq!(refused(&rig.submit(submit(1)), 1), Some(RefusalReason::Revoked));
+fn cancellation_before_submit_refuses_the_submit() {
+    let mut harness = harness();
+    harness.send_message(ToAgent::Cancel { attempt: attempt(1) });
+    assert_eq!(refused(&harness.submit(submit(1)), 1), Some(RefusalReason::Revoked));
 }
 
-// Symptom: an answer goes on to a link that is silent, and none reaches the caller.
-// Sequence: a request runs; the entry attaches it on a second link; the first one closes later.
-// Cause: messages sent where the submit came from.
+// The response must be sent on the latest link to which the entry attached, not on the one that
+// carried the submit, which may be silent and closes later.
 #[test]
 fn messages_follow_the_latest_attachment() {
-    let mut rig = rig();
-    rig.submit(submit(1));
-    rig.step(AgentEvent::LinkOpened { link: LinkId(2), entry: ENTRY });
-    rig.attach(LinkId(2), 1, 0);
-    rig.step(AgentEvent::LinkClosed { link: LINK });
-    rig.wait(ORPHAN_TIMEOUT_MS);
-    assert!(!aborted(&rig.tick()));
-    let actions = rig.chunk(1, "piece");
+    let mut harness = harness();
+    harness.submit(submit(1));
+    harness.handle(AgentEvent::LinkOpened { link: LinkId(2), entry: ENTRY });
+    harness.attach(LinkId(2), 1, 0);
+    harness.handle(AgentEvent::LinkClosed { link: LINK });
+    harness.advance(ORPHAN_TIMEOUT_MS);
+    assert!(!aborted(&harness.tick()));
+    let actions = harness.chunk(1, "chunk");
     assert!(matches!(actions[..], [AgentAction::Send { link: LinkId(2), .. }]));
 }
 
 #[test]
-fn a_cancelled_run_keeps_its_slot_until_the_backend_server_let_go() {
-    let mut rig = rig();
-    rig.submit(submit(1));
-    rig.submit(submit(2));
-    assert!(aborted(&rig.tell(ToAgent::Cancel { attempt: attempt(1) })));
-    assert_eq!(rig.starts(2), 0);
-    rig.fail(1, Verdict::MayHaveRun);
-    assert_eq!(rig.starts(2), 1);
+fn cancelled_run_keeps_its_slot_until_the_backend_server_reports_its_end() {
+    let mut harness = harness();
+    harness.submit(submit(1));
+    harness.submit(submit(2));
+    assert!(aborted(&harness.send_message(ToAgent::Cancel { attempt: attempt(1) })));
+    assert_eq!(harness.starts(2), 0);
+    harness.fail(1, Verdict::MayHaveRun);
+    assert_eq!(harness.starts(2), 1);
 }
 
 #[test]
-fn a_full_queue_says_when_coming_back_makes_sense() {
-    let mut rig = rig();
-    rig.submit(submit(0));
-    rig.wait(100);
-    rig.end(0);
+fn full_queue_refusal_suggests_a_retry_time() {
+    let mut harness = harness();
+    harness.submit(submit(0));
+    harness.advance(100);
+    harness.end(0);
     for sequence in 1..=5 {
-        rig.submit(submit(sequence));
+        harness.submit(submit(sequence));
     }
-    let actions = rig.submit(submit(9));
-    // Four wait and one more start must follow, 100 ms each, and a quarter of spread at most.
-    let wait_ms = retry_at(&actions).flatten().expect("measured").since(rig.now.unix_ms);
+    let actions = harness.submit(submit(9));
+    // Five starts of 100 ms each come first: the four queued attempts and the retry itself. Jitter
+    // adds up to a quarter.
+    let wait_ms = retry_at(&actions).flatten().expect("measured").since(harness.now.unix_ms);
     assert!((500..=625).contains(&wait_ms), "{wait_ms}");
 }
 
 #[test]
-fn a_drain_ends_once_after_running_work() {
-    let mut rig = rig();
-    rig.submit(submit(1));
-    rig.chunk(1, "piece");
-    let leaving = rig.step(AgentEvent::Drain);
+fn drain_completes_once_after_running_requests() {
+    let mut harness = harness();
+    harness.submit(submit(1));
+    harness.chunk(1, "chunk");
+    let leaving = harness.handle(AgentEvent::Drain);
     assert!(sent(&leaving).contains(&&ToEntry::Leaving));
-    let opened = rig.step(AgentEvent::LinkOpened { link: LinkId(2), entry: ENTRY });
+    let opened = harness.handle(AgentEvent::LinkOpened { link: LinkId(2), entry: ENTRY });
     assert_eq!(sent(&opened), [&ToEntry::Leaving]);
-    rig.end(1);
-    rig.wait(RESPONSE_RETENTION_MS - 1);
-    rig.tick();
-    assert_eq!(drained(&rig.log), 0, "the answer may still be fetched");
-    rig.wait(1);
-    rig.tick();
-    rig.step(AgentEvent::Drain);
-    rig.tick();
-    assert_eq!(drained(&rig.log), 1);
+    harness.end(1);
+    harness.advance(RESPONSE_RETENTION_MS - 1);
+    harness.tick();
+    assert_eq!(drained(&harness.log), 0, "the response may still be fetched");
+    harness.advance(1);
+    harness.tick();
+    harness.handle(AgentEvent::Drain);
+    harness.tick();
+    assert_eq!(drained(&harness.log), 1);
 }
 
 #[test]
 fn an_idle_agent_drains_at_once() {
-    assert_eq!(drained(&rig().step(AgentEvent::Drain)), 1);
+    assert_eq!(drained(&harness().handle(AgentEvent::Drain)), 1);
 }
 
 #[test]
-fn health_shows_in_the_load() {
-    let mut rig = rig();
-    rig.step(AgentEvent::BackendHealth { healthy: false });
-    let stamp = rig.core.snapshot(rig.now).stamp;
-    let actions = rig.tell(ToAgent::Heartbeat { nonce: 5, stamp });
+fn load_reports_backend_health() {
+    let mut harness = harness();
+    harness.handle(AgentEvent::BackendHealth { healthy: false });
+    let stamp = harness.core.snapshot(harness.now).stamp;
+    let actions = harness.send_message(ToAgent::Heartbeat { nonce: 5, stamp });
     let [ToEntry::HeartbeatAck { nonce: 5, load, .. }] = sent(&actions)[..] else {
         panic!("{actions:?}")
     };
@@ -299,140 +297,140 @@
 }
 
 #[test]
-fn demand_is_summed_over_entries_heard_lately() {
-    let mut rig = rig();
-    rig.step(AgentEvent::LinkOpened { link: LinkId(2), entry: Incarnation(200) });
+fn demand_is_summed_over_entries_with_recent_reports() {
+    let mut harness = harness();
+    harness.handle(AgentEvent::LinkOpened { link: LinkId(2), entry: Incarnation(200) });
     let demand = |requests_per_s| {
         ToAgent::Demand(vec![TeamDemand { team: TeamId::new("hog"), requests_per_s }])
     };
-    rig.tell(demand(3.0));
-    let both = rig.tell_on(LinkId(2), demand(4.0));
-    rig.wait(DEMAND_TTL_MS);
-    let one = rig.tell_on(LinkId(2), demand(f32::NAN));
+    harness.send_message(demand(3.0));
+    let both = harness.send_message_on(LinkId(2), demand(4.0));
+    harness.advance(DEMAND_TTL_MS);
+    let one = harness.send_message_on(LinkId(2), demand(f32::NAN));
     for (actions, requests_per_s, entries) in [(both, 7.0, 2), (one, 0.0, 1)] {
         let [ToEntry::Totals(totals)] = sent(&actions)[..] else { panic!("{actions:?}") };
         assert_eq!((totals[0].requests_per_s, totals[0].entries), (requests_per_s, entries));
     }
 }
 
-struct ProofCase {
+struct KeyCase {
     name: &'static str,
-    /// Brings the agent to its state and returns the key.
-    prepare: fn(&mut Rig) -> KeyDigest,
+    /// Brings the agent into the state of the case and returns the key.
+    prepare: fn(&mut Harness) -> KeyDigest,
     runs: bool,
 }
 
-const PROOFS: &[ProofCase] = &[
-    ProofCase {
-        name: "plain key, fresh agent",
-        prepare: |_| key_at(&document(), "lodge", "b0"),
+const KEY_CASES: &[KeyCase] = &[
+    KeyCase {
+        name: "plain key, agent just started",
+        prepare: |_| key_with_home(&document(), "create", "b0"),
         runs: false,
     },
-    ProofCase {
-        name: "plain key, horizon over",
-        prepare: |rig| {
+    KeyCase {
+        name: "plain key, key lifetime since the start has passed",
+        prepare: |harness| {
             let memory_ms = u64::from(KEY_HORIZON_MS) + u64::from(MAX_DEADLINE_MS);
-            rig.wait(ADOPTION_SPREAD_MS + memory_ms);
-            key_at(&document(), "lodge", "b0")
+            harness.advance(ADOPTION_SPREAD_MS + memory_ms);
+            key_with_home(&document(), "create", "b0")
         },
         runs: true,
     },
-    ProofCase {
-        name: "key made safely after the start",
-        prepare: |rig| {
-            rig.wait(ADOPTION_SPREAD_MS + 2 * CLOCK_SKEW_BOUND_MS);
-            stamped_key_at(&document(), "lodge", "b0", rig.now.unix_ms.0)
+    KeyCase {
+        name: "key created after the start, clock skew allowed for",
+        prepare: |harness| {
+            harness.advance(ADOPTION_SPREAD_MS + 2 * CLOCK_SKEW_BOUND_MS);
+            timestamped_key_with_home(&document(), "create", "b0", harness.now.unix_ms.0)
         },
         runs: true,
     },
-    ProofCase {
-        name: "key made too close to the start",
-        prepare: |rig| {
-            rig.wait(ADOPTION_SPREAD_MS + 2 * CLOCK_SKEW_BOUND_MS);
-            stamped_key_at(&document(), "lodge", "b0", rig.now.unix_ms.0 - 1)
+    KeyCase {
+        name: "key created too close to the start",
+        prepare: |harness| {
+            harness.advance(ADOPTION_SPREAD_MS + 2 * CLOCK_SKEW_BOUND_MS);
+            timestamped_key_with_home(&document(), "create", "b0", harness.now.unix_ms.0 - 1)
         },
         runs: false,
     },
-    ProofCase {
-        name: "a change that leaves the key at home",
-        prepare: |rig| {
-            rig.wait(WARM_MS);
+    KeyCase {
+        name: "document change that does not move the key",
+        prepare: |harness| {
+            harness.advance(KEYS_KNOWN_AFTER_MS);
             let mut after = document();
-            after.routes[1] = route("lodge", false, &["b0", "b1", "b2"]);
-            let key = keys_at(&document(), "lodge", "b0")
-                .find(|key| keys_at(&after, "lodge", "b0").any(|other| other == *key));
-            rig.adopt(after);
+            after.routes[1] = route("create", false, &["b0", "b1", "b2"]);
+            let key = keys_with_home(&document(), "create", "b0")
+                .find(|key| keys_with_home(&after, "create", "b0").any(|other| other == *key));
+            harness.adopt(after);
             key.expect("most keys stay")
         },
         runs: true,
     },
-    ProofCase {
-        name: "away and back",
-        prepare: |rig| {
-            rig.wait(WARM_MS);
+    KeyCase {
+        name: "document changes that move the key away and back",
+        prepare: |harness| {
+            harness.advance(KEYS_KNOWN_AFTER_MS);
             let mut away = document();
-            away.routes[1] = route("lodge", false, &["b1"]);
-            rig.adopt(away);
-            rig.wait(1_000);
-            rig.adopt(document());
-            key_at(&document(), "lodge", "b0")
+            away.routes[1] = route("create", false, &["b1"]);
+            harness.adopt(away);
+            harness.advance(1_000);
+            harness.adopt(document());
+            key_with_home(&document(), "create", "b0")
         },
         runs: false,
     },
-    ProofCase {
-        name: "a renamed route whose requests had another home",
-        prepare: |rig| {
+    KeyCase {
+        name: "renamed route whose keys had another home",
+        prepare: |harness| {
             let mut before = document();
             before.routes[1] = route("file", false, &["b1"]);
-            rig.adopt(before);
-            rig.wait(WARM_MS);
-            rig.tick();
-            rig.adopt(document());
-            key_at(&document(), "lodge", "b0")
+            harness.adopt(before);
+            harness.advance(KEYS_KNOWN_AFTER_MS);
+            harness.tick();
+            harness.adopt(document());
+            key_with_home(&document(), "create", "b0")
         },
         runs: false,
     },
-    ProofCase {
-        name: "a change that concerns no route",
-        prepare: |rig| {
-            rig.wait(WARM_MS);
+    KeyCase {
+        name: "document change that affects no route",
+        prepare: |harness| {
+            harness.advance(KEYS_KNOWN_AFTER_MS);
             let mut after = document();
             after.teams.pop();
-            rig.adopt(after);
-            key_at(&document(), "lodge", "b0")
+            harness.adopt(after);
+            key_with_home(&document(), "create", "b0")
         },
         runs: true,
     },
-    ProofCase {
-        name: "its run failed before the backend server got a byte",
-        prepare: |rig| {
-            rig.wait(WARM_MS);
-            let key = key_at(&document(), "lodge", "b0");
-            rig.submit(lodge(50, key, rig.now));
-            rig.fail(50, Verdict::NotRun);
+    KeyCase {
+        name: "earlier run failed before any byte reached the backend server",
+        prepare: |harness| {
+            harness.advance(KEYS_KNOWN_AFTER_MS);
+            let key = key_with_home(&document(), "create", "b0");
+            harness.submit(keyed_submit(50, key, harness.now));
+            harness.fail(50, Verdict::NotRun);
             key
         },
         runs: true,
     },
-    ProofCase {
-        name: "its run failed with an unknown outcome",
-        prepare: |rig| {
-            rig.wait(WARM_MS);
-            let key = key_at(&document(), "lodge", "b0");
-            rig.submit(lodge(50, key, rig.now));
-            rig.fail(50, Verdict::MayHaveRun);
+    KeyCase {
+        name: "earlier run failed with an unknown outcome",
+        prepare: |harness| {
+            harness.advance(KEYS_KNOWN_AFTER_MS);
+            let key = key_with_home(&document(), "create", "b0");
+            harness.submit(keyed_submit(50, key, harness.now));
+            harness.fail(50, Verdict::MayHaveRun);
             key
         },
         runs: false,
     },
-    ProofCase {
-        name: "its horizon is over",
-        prepare: |rig| {
-            rig.wait(WARM_MS);
-            let key = key_at(&document(), "lodge", "b0");
-            rig.submit(lodge(50, key, rig.now));
-            rig.end(50);
-            rig.wait(u64::from(KEY_HORIZON_MS));
+    KeyCase {
+        name: "key horizon has passed since the earlier run",
+        prepare: |harness| {
+            harness.advance(KEYS_KNOWN_AFTER_MS);
+            let key = key_with_home(&document(), "create", "b0");
+            harness.submit(keyed_submit(50, key, harness.now));
+            harness.end(50);
+            harness.advance(u64::from(KEY_HORIZON_MS));
             key
         },
         runs: true,
@@ -441,30 +439,30 @@
 
 #[test]
 fn a_non_idempotent_key_runs_only_when_no_earlier_run_is_possible() {
-    for case in PROOFS {
-        let mut rig = rig();
-        let key = (case.prepare)(&mut rig);
-        let actions = rig.submit(lodge(1, key, rig.now));
-        assert_eq!(rig.starts(1) == 1, case.runs, "{}", case.name);
+    for case in KEY_CASES {
+        let mut harness = harness();
+        let key = (case.prepare)(&mut harness);
+        let actions = harness.submit(keyed_submit(1, key, harness.now));
+        assert_eq!(harness.starts(1) == 1, case.runs, "{}", case.name);
         let expected = (!case.runs).then_some(Verdict::MayHaveRun);
         assert_eq!(key_used(&actions), expected, "{}", case.name);
     }
 }
 
 #[test]
-fn an_idempotent_key_runs_again_when_its_answer_is_lost() {
-    let mut rig = rig();
-    let key = key_at(&document(), "read", "b0");
-    rig.submit(Submit { key: Some(key), ..submit(1) });
-    rig.fail(1, Verdict::MayHaveRun);
-    rig.submit(Submit { key: Some(key), ..submit(2) });
-    assert_eq!((rig.starts(1), rig.starts(2)), (1, 1));
+fn idempotent_key_runs_again_when_its_response_is_lost() {
+    let mut harness = harness();
+    let key = key_with_home(&document(), "read", "b0");
+    harness.submit(Submit { key: Some(key), ..submit(1) });
+    harness.fail(1, Verdict::MayHaveRun);
+    harness.submit(Submit { key: Some(key), ..submit(2) });
+    assert_eq!((harness.starts(1), harness.starts(2)), (1, 1));
 }
 
 #[test]
-fn a_key_says_when_it_was_made_only_as_a_uuid_of_version_7() {
-    let made = |key: &str| KeyDigest::of(&TeamId::new("hog"), key).created();
-    assert_eq!(made("017f22e2-79b0-7cc3-98c4-dc0c0c07398f"), Some(UnixMs(0x017F_22E2_79B0)));
+fn only_uuid_version_7_keys_carry_a_creation_time() {
+    let created = |key: &str| KeyDigest::of(&TeamId::new("hog"), key).created();
+    assert_eq!(created("017f22e2-79b0-7cc3-98c4-dc0c0c07398f"), Some(UnixMs(0x017F_22E2_79B0)));
     for plain in [
         "017f22e2-79b0-4cc3-98c4-dc0c0c07398f",
         "017f22e2-79b0-7cc3-18c4-dc0c0c07398f",
@@ -473,7 +471,7 @@
         "order 17",
         "",
     ] {
-        assert_eq!(made(plain), None, "{plain}");
+        assert_eq!(created(plain), None, "{plain}");
     }
     let of = |team: &str, key: &str| KeyDigest::of(&TeamId::new(team), key);
     assert_ne!(of("hog", "k"), of("mouse", "k"));
--- a/crates/core/tests/agent_mechanisms.rs
+++ b/crates/core/tests/agent_mechanisms.rs
@@ -1,9 +1,9 @@
-//! Each mechanism of the agent against the failure it is meant for: the scenario must go well with
-//! the mechanism and be seen to go wrong without it.
+//! Tests each mechanism of the agent against the failure that it prevents: the scenario must
+//! succeed with the mechanism and fail without it.
 
-mod agent_rig;
+mod agent_harness;
 
-use agent_rig::*;
+use agent_harness::*;
 use hickorycross_core::agent::{
     AgentAction, AgentEvent, CLOCK_SKEW_BOUND_MS, Mechanisms, ORPHAN_TIMEOUT_MS,
     RESPONSE_RETENTION_MS, RETAINED_BYTES_PER_RESPONSE,
@@ -12,11 +12,11 @@
 use hickorycross_core::{Incarnation, LinkId, UnixMs, Verdict};
 use std::sync::Arc;
 
-type Seen = Result<(), String>;
+type ScenarioResult = Result<(), String>;
 
 struct Case {
     mechanism: Mechanism,
-    scenario: fn(Mechanisms) -> Seen,
+    scenario: fn(Mechanisms) -> ScenarioResult,
 }
 
 macro_rules! cases {
@@ -29,438 +29,441 @@
 }
 
 const CASES: &[Case] = cases!(
-    duplicate_detection => doubled,
-    refusal_records => late_copy,
-    tombstones => overtaken_submit,
-    forgotten_watermark => forgotten,
-    deadline_recheck => paused,
+    duplicate_detection => duplicate_submit,
+    refusal_records => copy_after_refusal,
+    tombstones => submit_after_revocation,
+    forgotten_watermark => forgotten_attempt,
+    deadline_recheck => deadline_passed_during_pause,
     expiry_sweep => expired_in_queue,
-    incarnation_check => successor,
-    owner_check => stranger,
-    eviction => full_of_bronze,
-    team_fairness => hogging_team,
-    tier_floors => gold_flood,
+    incarnation_check => submit_to_former_incarnation,
+    owner_check => cancel_from_other_entry,
+    eviction => higher_tier_at_full_queue,
+    team_fairness => team_filling_the_queue,
+    tier_floors => higher_tier_overload,
     orphan_abort => dead_entry,
-    retention => reattached,
-    retention_cap => silent_reader,
+    retention => reattach_after_link_loss,
+    retention_cap => reader_without_acknowledgements,
     key_table => repeated_key,
-    key_content_check => reused_key,
-    key_home_check => foreign_key,
-    key_recheck_at_start => twins,
-    unknown_keys_after_start => restarted,
-    key_home_changes => moved_home,
-    conflicting_documents => rival_home,
-    key_future_check => fast_clock,
-    key_check_before_refusal => told_not_run,
-    keep_keyed_runs => caller_left,
-    refuse_queued_on_drain => drained_queue,
-    refuse_queued_on_backend_down => backend_died,
-    drain_waits_for_acknowledgement => unacknowledged_end,
-    start_guard => faulty_recheck,
+    key_content_check => key_for_two_requests,
+    key_home_check => key_of_other_home,
+    key_recheck_at_start => concurrent_repeats,
+    unknown_keys_after_start => key_after_restart,
+    key_home_changes => key_after_home_change,
+    conflicting_documents => key_under_conflicting_documents,
+    key_future_check => key_from_the_future,
+    key_check_before_refusal => refusal_of_used_key,
+    keep_keyed_runs => cancelled_keyed_run,
+    refuse_queued_on_drain => drain_with_queued_attempt,
+    refuse_queued_on_backend_down => backend_down_with_queued_attempt,
+    drain_waits_for_acknowledgement => drain_before_acknowledgement,
+    start_guard => broken_deadline_check,
 );
 
 #[test]
 fn each_mechanism_prevents_its_failure() {
     for Case { mechanism, scenario } in CASES {
-        assert_eq!(scenario(Mechanisms::default()), Ok(()), "{} is on", mechanism.name);
-        let seen = scenario(mechanism.without(Mechanisms::default()));
-        assert!(seen.is_err(), "{} is off and nothing was seen", mechanism.name);
-        println!("{}: {}", mechanism.name, seen.unwrap_err());
+        assert_eq!(scenario(Mechanisms::default()), Ok(()), "{} is enabled", mechanism.name);
+        let result = scenario(mechanism.without(Mechanisms::default()));
+        assert!(result.is_err(), "{} is disabled, but its scenario succeeds", mechanism.name);
+        println!("{}: {}", mechanism.name, result.unwrap_err());
     }
 }
 
-fn check(holds: bool, otherwise: &str) -> Seen {
+fn check(holds: bool, otherwise: &str) -> ScenarioResult {
     if holds { Ok(()) } else { Err(otherwise.to_owned()) }
 }
 
-// Symptom: one request lodges two cases.
-// Sequence: the submit is sent; the path doubles it; the copy comes while the first is running.
-// Cause: a copy taken for a new attempt.
-fn doubled(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
-    rig.submit(submit(1));
-    let copy = rig.submit(submit(1));
-    rig.end(1);
-    rig.tick();
-    check(accepted(&copy, 1) && rig.starts(1) == 1 && violations(&rig.log) == 0, "run again")
+// A request must not run twice when the network duplicates its submit and the copy arrives while
+// the first one is running.
+fn duplicate_submit(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
+    harness.submit(submit(1));
+    let copy = harness.submit(submit(1));
+    harness.end(1);
+    harness.tick();
+    check(
+        accepted(&copy, 1) && harness.starts(1) == 1 && violations(&harness.log) == 0,
+        "the request ran again",
+    )
 }
 
-// Symptom: a request that was refused as not run, and was run elsewhere, runs here as well.
-// Sequence: the queue is full; the submit is refused; a place frees; a late copy comes.
-// Cause: the copy judged anew, although the refusal had promised that it will not run.
-fn late_copy(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
+// An attempt refused as not run, which may have been run elsewhere since, must not run when a late
+// copy of its submit arrives after the queue has room again.
+fn copy_after_refusal(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
     for sequence in 0..5 {
-        rig.submit(submit(sequence));
+        harness.submit(submit(sequence));
     }
-    check(refused(&rig.submit(submit(9)), 9) == Some(RefusalReason::QueueFull), "taken")?;
-    rig.end(0);
-    let copy = rig.submit(submit(9));
-    check(refused(&copy, 9) == Some(RefusalReason::QueueFull), "taken after its refusal")
-}
-
-// Symptom: a revoked request runs although its revocation was confirmed as not run.
-// Sequence: the submit is held up; the entry revokes on a fresh link; the submit arrives.
-// Cause: nothing remembered the revocation of an attempt that was never seen.
-fn overtaken_submit(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
-    let outcome = revoked(&rig.revoke(1, submit(1).deadline));
-    check(outcome == Some(RevokeOutcome::Tombstoned), "not confirmed")?;
-    let late = rig.submit(submit(1));
-    check(refused(&late, 1) == Some(RefusalReason::Revoked), "run after its revocation")
-}
-
-// Symptom: a request that ran is reported as not run.
-// Sequence: it runs and ends; its record is forgotten; the entry, paused meanwhile, revokes it.
-// Cause: no record taken for proof that it never came.
-fn forgotten(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
-    rig.submit(submit(1));
-    rig.end(1);
-    rig.wait(10_000 + CLOCK_SKEW_BOUND_MS + RESPONSE_RETENTION_MS);
-    rig.tick();
-    check(rig.core.snapshot(rig.now).attempts == 0, "record kept for ever")?;
-    let actions = rig.revoke(1, submit(1).deadline);
-    check(failed(&actions) == Some(Verdict::MayHaveRun), "said to be not run")
-}
-
-// Symptom: a request starts after its deadline, when its caller has long been told otherwise.
-// Sequence: it waits; the process is paused beyond the deadline; it wakes to an event that frees a
-// slot, before any tick.
-// Cause: the deadline checked on arrival and on ticks alone.
-fn paused(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
-    rig.submit(submit(1));
-    rig.submit(submit(2));
-    rig.wait(10_000);
-    let actions = rig.end(1);
-    check(violations(&actions) == 0, "only the guard stopped the start")?;
+    check(
+        refused(&harness.submit(submit(9)), 9) == Some(RefusalReason::QueueFull),
+        "accepted although the queue is full",
+    )?;
+    harness.end(0);
+    let copy = harness.submit(submit(9));
+    check(refused(&copy, 9) == Some(RefusalReason::QueueFull), "accepted after its refusal")
+}
+
+// An attempt whose revocation was confirmed must not run when its delayed submit arrives
+// afterwards. The agent had not seen the attempt before the revocation.
+fn submit_after_revocation(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
+    let outcome = revoked(&harness.revoke(1, submit(1).deadline));
+    check(outcome == Some(RevokeOutcome::Tombstoned), "revocation not confirmed")?;
+    let late = harness.submit(submit(1));
+    check(refused(&late, 1) == Some(RefusalReason::Revoked), "accepted after its revocation")
+}
+
+// A request that ran must not be reported as not run when its entry revokes it after a pause, by
+// which time the agent has forgotten its record.
+fn forgotten_attempt(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
+    harness.submit(submit(1));
+    harness.end(1);
+    harness.advance(10_000 + CLOCK_SKEW_BOUND_MS + RESPONSE_RETENTION_MS);
+    harness.tick();
+    check(harness.core.snapshot(harness.now).attempts == 0, "record never removed")?;
+    let actions = harness.revoke(1, submit(1).deadline);
+    check(failed(&actions) == Some(Verdict::MayHaveRun), "not reported as possibly run")
+}
+
+// A request must not start after its deadline. The process is paused past the deadline of a queued
+// attempt, and the first event after the pause frees a slot before any tick.
+fn deadline_passed_during_pause(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
+    harness.submit(submit(1));
+    harness.submit(submit(2));
+    harness.advance(10_000);
+    let actions = harness.end(1);
+    check(violations(&actions) == 0, "only the start guard stopped the start")?;
     check(refused(&actions, 2) == Some(RefusalReason::Expired), "started after its deadline")
 }
 
-// Symptom: a caller waits for its refusal long after the deadline.
-// Sequence: a request waits behind a long run; its deadline passes.
-// Cause: queued work looked at only when a slot frees.
-fn expired_in_queue(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
-    rig.submit(submit(1));
-    rig.submit(submit(2));
-    rig.wait(10_000);
-    check(refused(&rig.tick(), 2) == Some(RefusalReason::Expired), "left waiting")
-}
-
-// Symptom: a request runs twice across a restart.
-// Sequence: the agent restarts; a submit meant for its former life reaches the new one.
-// Cause: the new life cannot know what the former one did with it.
-fn successor(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
-    let actions = rig.submit(Submit { agent: Incarnation(6), ..submit(1) });
-    check(refused(&actions, 1) == Some(RefusalReason::WrongIncarnation), "taken")
-}
-
-// Symptom: a request is aborted for which its caller still waits.
-// Sequence: another entry sends a cancellation with this entry's attempt.
-// Cause: attempts looked up without asking whose they are.
-fn stranger(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
-    rig.submit(submit(1));
-    rig.step(AgentEvent::LinkOpened { link: LinkId(2), entry: Incarnation(200) });
-    let actions = rig.tell_on(LinkId(2), ToAgent::Cancel { attempt: attempt(1) });
-    check(!aborted(&actions), "aborted by a stranger")
-}
-
-// Symptom: a paying tier is refused while cheaper work waits.
-// Sequence: the queue fills with bronze; gold arrives.
-// Cause: places given in order of arrival.
-fn full_of_bronze(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
+// A caller must not wait past its deadline for the refusal of a request that is queued behind a
+// long run.
+fn expired_in_queue(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
+    harness.submit(submit(1));
+    harness.submit(submit(2));
+    harness.advance(10_000);
+    check(
+        refused(&harness.tick(), 2) == Some(RefusalReason::Expired),
+        "still queued after its deadline",
+    )
+}
+
+// A request must not run twice across a restart. A submit addressed to the former incarnation
+// reaches the new one, which cannot know whether it has run already.
+fn submit_to_former_incarnation(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
+    let actions = harness.submit(Submit { agent: Incarnation(6), ..submit(1) });
+    check(
+        refused(&actions, 1) == Some(RefusalReason::WrongIncarnation),
+        "accepted by another incarnation",
+    )
+}
+
+// An entry must not be able to cancel another entry's attempt.
+fn cancel_from_other_entry(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
+    harness.submit(submit(1));
+    harness.handle(AgentEvent::LinkOpened { link: LinkId(2), entry: Incarnation(200) });
+    let actions = harness.send_message_on(LinkId(2), ToAgent::Cancel { attempt: attempt(1) });
+    check(!aborted(&actions), "aborted by another entry")
+}
+
+// A higher tier must not be refused while the queue is full of lower-tier attempts.
+fn higher_tier_at_full_queue(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
     for sequence in 0..5 {
-        rig.submit(Submit { tier: "bronze".into(), ..submit(sequence) });
+        harness.submit(Submit { tier: "bronze".into(), ..submit(sequence) });
     }
-    let actions = rig.submit(submit(9));
-    check(accepted(&actions, 9), "gold refused")?;
-    check(refused(&actions, 4) == Some(RefusalReason::QueueFull), "no bronze handed back")
+    let actions = harness.submit(submit(9));
+    check(accepted(&actions, 9), "the higher tier was refused")?;
+    check(
+        refused(&actions, 4) == Some(RefusalReason::QueueFull),
+        "no lower-tier attempt was refused",
+    )
 }
 
-// Symptom: one team's requests expire while another team's are answered.
-// Sequence: team hog keeps the queue full with early deadlines; team mouse sends one request.
-// Cause: order by deadline alone, and places given in order of arrival.
-fn hogging_team(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
+// A team that keeps the queue full with early deadlines must neither keep another team's single
+// request out of the queue nor start all of its own attempts first.
+fn team_filling_the_queue(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
     for sequence in 0..5 {
-        rig.submit(Submit { deadline: UnixMs(START_MS + 5_000), ..submit(sequence) });
+        harness.submit(Submit { deadline: UnixMs(START_MS + 5_000), ..submit(sequence) });
     }
-    let mouse = rig.submit(Submit { team: "mouse".into(), ..submit(9) });
-    check(accepted(&mouse, 9), "kept out of the queue")?;
-    rig.wait(10);
-    rig.end(0);
-    check(rig.starts(9) == 1, "left behind the other team's")
-}
-
-// Symptom: a lower tier gets nothing for as long as a higher one is busy.
-// Sequence: gold keeps the queue full; silver, with a floor of 100 in 1000, offers work.
-// Cause: order and eviction by rank alone.
-fn gold_flood(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
+    let mouse = harness.submit(Submit { team: "mouse".into(), ..submit(9) });
+    check(accepted(&mouse, 9), "the other team was kept out of the queue")?;
+    harness.advance(10);
+    harness.end(0);
+    check(harness.starts(9) == 1, "the other team did not start first")
+}
+
+// A tier with a floor of 100 permille must get its share of the starts while a higher tier keeps
+// the queue full.
+fn higher_tier_overload(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
     let mut running = 0;
-    rig.submit(submit(0));
+    harness.submit(submit(0));
     for round in 1..=200 {
         for tier in ["gold", "gold", "silver"] {
             let sequence = round * 10 + u64::from(tier == "silver");
-            rig.submit(Submit { tier: tier.into(), ..submit(sequence) });
+            harness.submit(Submit { tier: tier.into(), ..submit(sequence) });
         }
-        rig.wait(10);
-        let next = started(&rig.end(running));
+        harness.advance(10);
+        let next = started(&harness.end(running));
         running = next.first().ok_or("nothing started")?.request.sequence;
     }
-    let silver = started(&rig.log).iter().filter(|id| id.request.sequence % 10 == 1).count();
+    let silver = started(&harness.log).iter().filter(|id| id.request.sequence % 10 == 1).count();
     check((18..=22).contains(&silver), &format!("{silver} of 200 starts were silver"))
 }
 
-// Symptom: load without callers after an entry died.
-// Sequence: a request runs; its entry dies, the link closes; nobody attaches.
-// Cause: nothing bounds how long a run goes on without a reader.
-fn dead_entry(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
-    rig.submit(submit(1));
-    rig.step(AgentEvent::LinkClosed { link: LINK });
-    rig.wait(ORPHAN_TIMEOUT_MS - 1);
-    check(!aborted(&rig.tick()), "aborted while its entry may come back")?;
-    rig.wait(1);
-    check(aborted(&rig.tick()), "runs on for nobody")
-}
-
-// Symptom: an answer is lost with its link, although the run went well.
-// Sequence: one chunk is acknowledged, two are under way when the link closes; the run ends; the
-// entry attaches on a fresh link.
-// Cause: chunks dropped once sent.
-fn reattached(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
-    rig.submit(submit(1));
-    for piece in ["one", "two", "three"] {
-        rig.chunk(1, piece);
+// A run must not occupy its slot indefinitely after its entry died: the link closes and no entry
+// reattaches.
+fn dead_entry(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
+    harness.submit(submit(1));
+    harness.handle(AgentEvent::LinkClosed { link: LINK });
+    harness.advance(ORPHAN_TIMEOUT_MS - 1);
+    check(!aborted(&harness.tick()), "aborted while its entry may still reattach")?;
+    harness.advance(1);
+    check(aborted(&harness.tick()), "still running without a reader")
+}
+
+// A response must not be lost with its link. One chunk is acknowledged and two are in transit when
+// the link closes; the run ends, and the entry reattaches on a new link.
+fn reattach_after_link_loss(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
+    harness.submit(submit(1));
+    for chunk in ["one", "two", "three"] {
+        harness.chunk(1, chunk);
     }
-    rig.received(1, 1);
-    rig.step(AgentEvent::LinkClosed { link: LINK });
-    rig.end(1);
-    rig.step(AgentEvent::LinkOpened { link: LinkId(2), entry: ENTRY });
-    let actions = rig.attach(LinkId(2), 1, 1);
-    check(chunks(&actions) == [1, 2] && end_counts(&actions) == Some((3, 11)), "answer lost")
-}
-
-// Symptom: the process is killed for its memory, with every run in it.
-// Sequence: an entry stops acknowledging; its answer goes on.
-// Cause: nothing bounds what is held for it.
-fn silent_reader(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
-    rig.submit(submit(1));
-    let piece = vec![0_u8; 1 << 20];
-    let pieces = 3 * RETAINED_BYTES_PER_RESPONSE / piece.len() as u64;
-    for _ in 0..pieces {
-        rig.chunk(1, piece.clone());
+    harness.received(1, 1);
+    harness.handle(AgentEvent::LinkClosed { link: LINK });
+    harness.end(1);
+    harness.handle(AgentEvent::LinkOpened { link: LinkId(2), entry: ENTRY });
+    let actions = harness.attach(LinkId(2), 1, 1);
+    check(
+        chunks(&actions) == [1, 2] && end_counts(&actions) == Some((3, 11)),
+        "the response was lost",
+    )
+}
+
+// An entry that stops acknowledging a long response must not exhaust the memory of the process.
+fn reader_without_acknowledgements(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
+    harness.submit(submit(1));
+    let chunk = vec![0_u8; 1 << 20];
+    let chunk_count = 3 * RETAINED_BYTES_PER_RESPONSE / chunk.len() as u64;
+    for _ in 0..chunk_count {
+        harness.chunk(1, chunk.clone());
     }
-    let held = rig.core.snapshot(rig.now).retained_bytes;
-    check(held <= RETAINED_BYTES_PER_RESPONSE, &format!("{held} bytes held"))?;
-    check(failed(&rig.attach(LINK, 1, 0)) == Some(Verdict::Ran), "attached with a gap")
-}
-
-// Symptom: a caller that repeats its key lodges two cases.
-// Sequence: the answer is whole but lost on its way; the caller repeats the request.
-// Cause: the key not remembered.
-fn repeated_key(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::warm(mechanisms);
-    let key = key_at(&document(), "lodge", "b0");
-    rig.submit(lodge(1, key, rig.now));
-    rig.chunk(1, "case 42");
-    rig.end(1);
-    rig.received(1, 2);
-    rig.wait(u64::from(KEY_HORIZON_MS) - 1);
-    rig.tick();
-    let repeat = rig.submit(lodge(2, key, rig.now));
-    check(rig.starts(2) == 0 && violations(&rig.log) == 0, "run again")?;
-    check(chunks(&repeat) == [0] && end_counts(&repeat) == Some((1, 7)), "answer not repeated")
-}
-
-// Symptom: a caller gets the answer to another request.
-// Sequence: it uses one key for two requests.
-// Cause: the key looked up without comparing the request.
-fn reused_key(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::warm(mechanisms);
-    let key = key_at(&document(), "lodge", "b0");
-    rig.submit(lodge(1, key, rig.now));
-    let other = rig.submit(Submit { content: 2, ..lodge(2, key, rig.now) });
-    check(refused(&other, 2) == Some(RefusalReason::KeyConflict), "taken for the same request")
-}
-
-// Symptom: a repeated key runs at two backend servers.
-// Sequence: an entry on an older revision takes this agent for the key's home.
-// Cause: the home not checked under the agent's own revision.
-fn foreign_key(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::warm(mechanisms);
-    let key = key_at(&document(), "lodge", "b1");
-    let actions = rig.submit(lodge(1, key, rig.now));
-    check(refused(&actions, 1) == Some(RefusalReason::NotKeyHome), "taken")
-}
-
-// Symptom: two copies of a request, sent at once by an impatient caller, both run.
-// Sequence: both wait in the queue before either has used the key.
-// Cause: the key looked at on arrival alone.
-fn twins(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::warm(mechanisms);
-    let mut keys = keys_at(&document(), "lodge", "b0").collect::<Vec<_>>().into_iter();
+    let held = harness.core.snapshot(harness.now).retained_bytes;
+    check(held <= RETAINED_BYTES_PER_RESPONSE, &format!("{held} bytes retained"))?;
+    check(
+        failed(&harness.attach(LINK, 1, 0)) == Some(Verdict::Ran),
+        "attached although chunks are missing",
+    )
+}
+
+// A repeated key must not run twice. The complete response is lost on its way, and the caller
+// repeats the request just before the key's horizon ends.
+fn repeated_key(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::with_known_keys(mechanisms);
+    let key = key_with_home(&document(), "create", "b0");
+    harness.submit(keyed_submit(1, key, harness.now));
+    harness.chunk(1, "case 42");
+    harness.end(1);
+    harness.received(1, 2);
+    harness.advance(u64::from(KEY_HORIZON_MS) - 1);
+    harness.tick();
+    let repeat = harness.submit(keyed_submit(2, key, harness.now));
+    check(harness.starts(2) == 0 && violations(&harness.log) == 0, "the key ran again")?;
+    check(
+        chunks(&repeat) == [0] && end_counts(&repeat) == Some((1, 7)),
+        "the response was not replayed",
+    )
+}
+
+// A caller that uses one key for two different requests must not get the response to the other one.
+fn key_for_two_requests(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::with_known_keys(mechanisms);
+    let key = key_with_home(&document(), "create", "b0");
+    harness.submit(keyed_submit(1, key, harness.now));
+    let other = harness.submit(Submit { content: 2, ..keyed_submit(2, key, harness.now) });
+    check(
+        refused(&other, 2) == Some(RefusalReason::KeyConflict),
+        "accepted for a different request",
+    )
+}
+
+// A key must not run at two backend servers because an entry on an older revision considers this
+// agent its home.
+fn key_of_other_home(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::with_known_keys(mechanisms);
+    let key = key_with_home(&document(), "create", "b1");
+    let actions = harness.submit(keyed_submit(1, key, harness.now));
+    check(refused(&actions, 1) == Some(RefusalReason::NotKeyHome), "accepted by another home")
+}
+
+// Two copies of a request with the same key, both queued before either has started, must run only
+// once.
+fn concurrent_repeats(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::with_known_keys(mechanisms);
+    let mut keys = keys_with_home(&document(), "create", "b0").collect::<Vec<_>>().into_iter();
     let (busy, key) = (keys.next().ok_or("no key")?, keys.next().ok_or("no key")?);
-    rig.submit(lodge(1, busy, rig.now));
-    rig.submit(lodge(2, key, rig.now));
-    rig.submit(lodge(3, key, rig.now));
-    rig.end(1);
-    rig.chunk(2, "case 43");
-    rig.end(2);
-    check(rig.starts(2) + rig.starts(3) == 1 && violations(&rig.log) == 0, "both started")?;
-    check(rig.core.counters().key_replays == 1, "the second got no answer")
-}
-
-// Symptom: a repeated key runs twice across a restart.
-// Sequence: the former life of the agent ran the request and died; the caller repeats it.
-// Cause: an empty table taken for proof that the key is unused.
-fn restarted(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
-    rig.wait(u64::from(KEY_HORIZON_MS) - 1);
-    rig.tick();
-    let key = key_at(&document(), "lodge", "b0");
-    let actions = rig.submit(lodge(1, key, rig.now));
-    check(key_used(&actions) == Some(Verdict::MayHaveRun) && rig.starts(1) == 0, "run")
-}
-
-// Symptom: a repeated key runs twice across a change of the document.
-// Sequence: the key ran at b2; the document replaces b2 by b0; the caller repeats the request.
-// Cause: the new home takes its empty table for proof.
-fn moved_home(mechanisms: Mechanisms) -> Seen {
+    harness.submit(keyed_submit(1, busy, harness.now));
+    harness.submit(keyed_submit(2, key, harness.now));
+    harness.submit(keyed_submit(3, key, harness.now));
+    harness.end(1);
+    harness.chunk(2, "case 43");
+    harness.end(2);
+    check(
+        harness.starts(2) + harness.starts(3) == 1 && violations(&harness.log) == 0,
+        "both attempts started",
+    )?;
+    check(harness.core.counters().key_replays == 1, "the second attempt got no response")
+}
+
+// A repeated key must not run twice across a restart. The former incarnation may have run it, so
+// the new one's empty key table proves nothing.
+fn key_after_restart(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
+    harness.advance(u64::from(KEY_HORIZON_MS) - 1);
+    harness.tick();
+    let key = key_with_home(&document(), "create", "b0");
+    let actions = harness.submit(keyed_submit(1, key, harness.now));
+    check(key_used(&actions) == Some(Verdict::MayHaveRun) && harness.starts(1) == 0, "the key ran")
+}
+
+// A repeated key must not run twice across a document change that moves its home from b2 to b0,
+// where the key table does not know it.
+fn key_after_home_change(mechanisms: Mechanisms) -> ScenarioResult {
     let mut before = document();
-    before.routes[1] = route("lodge", false, &["b1", "b2"]);
-    let key = key_at(&before, "lodge", "b2");
-    let mut rig = Rig::with_document(mechanisms, before);
-    rig.wait(WARM_MS);
-    rig.tick();
+    before.routes[1] = route("create", false, &["b1", "b2"]);
+    let key = key_with_home(&before, "create", "b2");
+    let mut harness = Harness::with_document(mechanisms, before);
+    harness.advance(KEYS_KNOWN_AFTER_MS);
+    harness.tick();
     let mut after = document();
-    after.routes[1] = route("lodge", false, &["b0"]);
-    rig.adopt(after);
-    let actions = rig.submit(lodge(1, key, rig.now));
-    check(key_used(&actions) == Some(Verdict::MayHaveRun) && rig.starts(1) == 0, "run")
-}
-
-// Symptom: a key that tells its moment of creation runs at two agents, seconds apart.
-// Sequence: the platform publishes another content of the revision in force; an agent restarts and
-// takes it, while the others keep what they hold; a key runs at its home by the old content; the
-// next document leaves its home where the new content has it, and a caller repeats the key there.
-// Cause: the restarted agent knew no other content of the revision, and so no other home.
-fn rival_home(mechanisms: Mechanisms) -> Seen {
-    let mut held_elsewhere = document();
-    held_elsewhere.routes[1] = route("lodge", false, &["b1", "b2"]);
-    let mut rig = Rig::warm(mechanisms);
-    rig.step(AgentEvent::ConflictingDocument { document: Arc::new(held_elsewhere) });
-    let key = stamped_key_at(&document(), "lodge", "b0", rig.now.unix_ms.0);
-    let before = rig.submit(lodge(1, key, rig.now));
+    after.routes[1] = route("create", false, &["b0"]);
+    harness.adopt(after);
+    let actions = harness.submit(keyed_submit(1, key, harness.now));
+    check(key_used(&actions) == Some(Verdict::MayHaveRun) && harness.starts(1) == 0, "the key ran")
+}
+
+// A key with a creation time must not run at two agents when the platform publishes two documents
+// under one revision. An agent that restarts adopts the second document while its peers keep the
+// first, under which another agent is the key's home. The next document confirms the home of the
+// second, and the caller repeats its key there.
+fn key_under_conflicting_documents(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut peer_document = document();
+    peer_document.routes[1] = route("create", false, &["b1", "b2"]);
+    let mut harness = Harness::with_known_keys(mechanisms);
+    harness.handle(AgentEvent::ConflictingDocument { document: Arc::new(peer_document) });
+    let key = timestamped_key_with_home(&document(), "create", "b0", harness.now.unix_ms.0);
+    let before = harness.submit(keyed_submit(1, key, harness.now));
     let mut after = document();
-    after.title = "a newer revision".to_owned();
-    rig.adopt(after);
-    let after = rig.submit(lodge(2, key, rig.now));
+    after.title = "next revision".to_owned();
+    harness.adopt(after);
+    let after = harness.submit(keyed_submit(2, key, harness.now));
     let unknown = |actions: &[AgentAction]| key_used(actions) == Some(Verdict::MayHaveRun);
-    check(unknown(&before) && unknown(&after), "run")
-}
-
-// Symptom: a repeated key runs twice across a restart although the key says when it was made.
-// Sequence: the caller's clock runs a minute ahead; the request runs; the agent restarts; the
-// repeat's key looks younger than the restart.
-// Cause: the first run happened before the moment that the key names.
-fn fast_clock(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::warm(mechanisms);
-    let made = rig.now.unix_ms.0 + 60_000;
-    let key = stamped_key_at(&document(), "lodge", "b0", made);
-    let first = rig.submit(lodge(1, key, rig.now));
-    check(refused(&first, 1) == Some(RefusalReason::KeyNotYetValid), "run before its moment")
-}
-
-// Symptom: a caller is told that its request was not run and lodges it again under a new key.
-// Sequence: its first try was cut off and may have run; the backend server is marked as down; it
-// repeats the key. A second caller's repeat waits beside its running first try when the agent
-// drains.
-// Cause: the state of the agent looked at before the key.
-fn told_not_run(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::warm(mechanisms);
-    let mut keys = keys_at(&document(), "lodge", "b0").collect::<Vec<_>>().into_iter();
-    let (cut_off, twin) = (keys.next().ok_or("no key")?, keys.next().ok_or("no key")?);
-    rig.submit(lodge(1, cut_off, rig.now));
-    rig.submit(lodge(2, twin, rig.now));
-    rig.submit(lodge(3, twin, rig.now));
-    rig.fail(1, Verdict::MayHaveRun);
-    let drained = rig.step(AgentEvent::Drain);
-    check(key_used(&drained) == Some(Verdict::MayHaveRun), "the twin was told not run")?;
-    let repeat = rig.submit(lodge(4, cut_off, rig.now));
-    check(key_used(&repeat) == Some(Verdict::MayHaveRun), "told not run")
-}
-
-// Symptom: a case is half lodged, and the repeat of its key cannot tell.
-// Sequence: the caller's connection breaks; its entry cancels; the caller repeats the request.
-// Cause: the run aborted although its key makes its answer reachable.
-fn caller_left(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::warm(mechanisms);
-    let key = key_at(&document(), "lodge", "b0");
-    rig.submit(lodge(1, key, rig.now));
-    let cancelled = rig.tell(ToAgent::Cancel { attempt: attempt(1) });
-    check(!aborted(&cancelled), "aborted")?;
-    rig.submit(lodge(2, key, rig.now));
-    let end = rig.end(1);
-    check(end_counts(&end) == Some((0, 0)) && rig.starts(2) == 0, "repeat not answered")
-}
-
-// Symptom: a planned stop cuts requests that waited.
-// Sequence: a request waits; the agent drains.
-// Cause: queued work neither started nor handed back.
-fn drained_queue(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
-    rig.submit(submit(1));
-    rig.submit(submit(2));
-    let actions = rig.step(AgentEvent::Drain);
-    check(refused(&actions, 2) == Some(RefusalReason::Leaving), "kept")
-}
-
-// Symptom: requests wait for a backend server that is down until they expire.
-// Sequence: one runs, one waits; the health check fails.
-// Cause: queued work kept although another backend server could take it.
-fn backend_died(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
-    rig.submit(submit(1));
-    rig.submit(submit(2));
-    let actions = rig.step(AgentEvent::BackendHealth { healthy: false });
-    check(refused(&actions, 2) == Some(RefusalReason::BackendDown), "kept")?;
-    check(failed(&rig.fail(1, Verdict::MayHaveRun)) == Some(Verdict::MayHaveRun), "run forgotten")
-}
-
-// Symptom: a planned stop cuts an answer short just before its end.
-// Sequence: the agent drains while a request runs; the run ends; the link had gone silent, so the
-// entry has to fetch the end on a fresh one.
-// Cause: the agent stops once nothing runs, with an answer that nobody acknowledged.
-fn unacknowledged_end(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(mechanisms);
-    rig.submit(submit(1));
-    rig.step(AgentEvent::Drain);
-    rig.chunk(1, "case 44");
-    check(drained(&rig.end(1)) == 0, "stopped before the acknowledgement")?;
+    check(unknown(&before) && unknown(&after), "the key ran")
+}
+
+// A key must not run before its creation time. If the caller's clock is a minute ahead and the
+// agent restarts after running the request, the repeated key would look newer than the restart and
+// run again.
+fn key_from_the_future(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::with_known_keys(mechanisms);
+    let created_ms = harness.now.unix_ms.0 + 60_000;
+    let key = timestamped_key_with_home(&document(), "create", "b0", created_ms);
+    let first = harness.submit(keyed_submit(1, key, harness.now));
+    check(
+        refused(&first, 1) == Some(RefusalReason::KeyNotYetValid),
+        "accepted before its creation time",
+    )
+}
+
+// A caller must not be told that a request was not run when its key was used. First case: an
+// attempt failed with an unknown outcome, and its key is repeated while the agent refuses all new
+// work. Second case: a repeat is queued beside its running first attempt when the agent drains.
+fn refusal_of_used_key(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::with_known_keys(mechanisms);
+    let mut keys = keys_with_home(&document(), "create", "b0").collect::<Vec<_>>().into_iter();
+    let (cut_off, concurrent) = (keys.next().ok_or("no key")?, keys.next().ok_or("no key")?);
+    harness.submit(keyed_submit(1, cut_off, harness.now));
+    harness.submit(keyed_submit(2, concurrent, harness.now));
+    harness.submit(keyed_submit(3, concurrent, harness.now));
+    harness.fail(1, Verdict::MayHaveRun);
+    let drained = harness.handle(AgentEvent::Drain);
+    check(
+        key_used(&drained) == Some(Verdict::MayHaveRun),
+        "the concurrent repeat was reported as not run",
+    )?;
+    let repeat = harness.submit(keyed_submit(4, cut_off, harness.now));
+    check(key_used(&repeat) == Some(Verdict::MayHaveRun), "the repeat was reported as not run")
+}
+
+// A non-idempotent run with a key must not be aborted when its caller disconnects: the operation
+// could be left half done, and the caller can still fetch the response by repeating its key.
+fn cancelled_keyed_run(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::with_known_keys(mechanisms);
+    let key = key_with_home(&document(), "create", "b0");
+    harness.submit(keyed_submit(1, key, harness.now));
+    let cancelled = harness.send_message(ToAgent::Cancel { attempt: attempt(1) });
+    check(!aborted(&cancelled), "the run was aborted")?;
+    harness.submit(keyed_submit(2, key, harness.now));
+    let end = harness.end(1);
+    check(end_counts(&end) == Some((0, 0)) && harness.starts(2) == 0, "the repeat got no response")
+}
+
+// A drain must refuse queued attempts, so that their entries can send them elsewhere, instead of
+// dropping them.
+fn drain_with_queued_attempt(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
+    harness.submit(submit(1));
+    harness.submit(submit(2));
+    let actions = harness.handle(AgentEvent::Drain);
+    check(refused(&actions, 2) == Some(RefusalReason::Leaving), "still queued")
+}
+
+// Queued attempts must not wait until they expire when the backend server goes down, since another
+// backend server could take them.
+fn backend_down_with_queued_attempt(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
+    harness.submit(submit(1));
+    harness.submit(submit(2));
+    let actions = harness.handle(AgentEvent::BackendHealth { healthy: false });
+    check(refused(&actions, 2) == Some(RefusalReason::BackendDown), "still queued")?;
+    check(
+        failed(&harness.fail(1, Verdict::MayHaveRun)) == Some(Verdict::MayHaveRun),
+        "the failure of the run was not reported",
+    )
+}
+
+// A drain must not stop the agent before the end of a response is acknowledged: the link may be
+// silent, and the entry has to fetch the end on a new one.
+fn drain_before_acknowledgement(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(mechanisms);
+    harness.submit(submit(1));
+    harness.handle(AgentEvent::Drain);
+    harness.chunk(1, "case 44");
+    check(drained(&harness.end(1)) == 0, "drained before the acknowledgement")?;
     check(
-        drained(&rig.received(1, 1)) == 0,
-        "stopped on an acknowledgement that may have crossed",
+        drained(&harness.received(1, 1)) == 0,
+        "drained on an acknowledgement that may precede the end marker",
     )?;
-    check(drained(&rig.received(1, 2)) == 1, "not stopped after the acknowledgement")
-}
-
-// Symptom: a request starts after its deadline, and nothing in the process notices.
-// Sequence: as in `paused`, with the check before the start broken.
-// Cause: one check alone stands between a fault of ours and the invariant.
-fn faulty_recheck(mechanisms: Mechanisms) -> Seen {
-    let mut rig = Rig::new(Mechanisms { deadline_recheck: false, ..mechanisms });
-    rig.submit(submit(1));
-    rig.submit(submit(2));
-    rig.wait(10_000);
-    let actions = rig.end(1);
-    check(rig.starts(2) == 0 && violations(&actions) == 1, "started unnoticed")
+    check(drained(&harness.received(1, 2)) == 1, "not drained after the acknowledgement")
+}
+
+// The start guard must detect and stop a start after the deadline, as in
+// `deadline_passed_during_pause`, if the deadline check before a start is broken.
+fn broken_deadline_check(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = Harness::new(Mechanisms { deadline_recheck: false, ..mechanisms });
+    harness.submit(submit(1));
+    harness.submit(submit(2));
+    harness.advance(10_000);
+    let actions = harness.end(1);
+    check(harness.starts(2) == 0 && violations(&actions) == 1, "the start was not detected")
 }
--- a/crates/core/tests/agent_random.rs
+++ b/crates/core/tests/agent_random.rs
@@ -1,24 +1,24 @@
-//! Long random runs of one agent between entries that lose touch and a backend server that fails,
-//! judged by an observer that shares nothing with the agent.
+//! Random simulations of one agent with unreliable links and a failing backend server, checked by
+//! an observer that shares no state with the agent.
 
-mod agent_rig;
-mod agent_world;
+mod agent_harness;
+mod agent_simulation;
 
-use agent_rig::{Mechanism, mechanisms};
-use agent_world::World;
+use agent_harness::{Mechanism, mechanisms};
+use agent_simulation::Simulation;
 use hickorycross_core::agent::Mechanisms;
 use std::panic::catch_unwind;
 
 const RUNS: u64 = 200;
 const STEPS: usize = 600;
 
-fn run(seed: u64, mechanisms: Mechanisms) -> World {
-    let mut world = World::with_mechanisms(seed, mechanisms);
+fn run(seed: u64, mechanisms: Mechanisms) -> Simulation {
+    let mut simulation = Simulation::with_mechanisms(seed, mechanisms);
     for _ in 0..STEPS {
-        world.step();
+        simulation.step();
     }
-    world.finish();
-    world
+    simulation.finish();
+    simulation
 }
 
 #[test]
@@ -26,27 +26,30 @@
     let mut starts = 0;
     let mut replays = 0;
     for seed in 0..RUNS {
-        let world = run(seed, Mechanisms::default());
-        starts += world.observer.starts();
-        replays += world.rig.core.counters().key_replays;
+        let simulation = run(seed, Mechanisms::default());
+        starts += simulation.observer.starts();
+        replays += simulation.harness.core.counters().key_replays;
     }
     println!("{starts} starts, {replays} replays in {RUNS} runs");
-    assert!(starts > 10 * RUNS as usize && replays > RUNS, "the runs exercise little");
+    assert!(
+        starts > 10 * RUNS as usize && replays > RUNS,
+        "too few starts or replays to be meaningful"
+    );
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
     let log = |seed| {
-        let mut world = World::new(seed);
-        (0..STEPS).for_each(|_| world.step());
-        world.rig.log
+        let mut simulation = Simulation::new(seed);
+        (0..STEPS).for_each(|_| simulation.step());
+        simulation.harness.log
     };
     for seed in [1, 2, 3] {
         assert!(log(seed) == log(seed), "seed {seed}");
     }
 }
 
-const SEEN: &[Mechanism] = mechanisms!(
+const DETECTED_MECHANISMS: &[Mechanism] = mechanisms!(
     duplicate_detection,
     refusal_records,
     tombstones,
@@ -59,14 +62,14 @@
     refuse_queued_on_drain,
 );
 
-// The observer is worth something only if it sees what each mechanism prevents. The agent's own
-// guard is off as well, so that the observer is alone.
+// Shows that the observer detects the failures that each mechanism prevents. The agent's own start
+// guard is disabled as well, so that it cannot prevent them instead.
 #[test]
-fn the_observer_sees_each_mechanism_missing() {
-    for mechanism in SEEN {
+fn observer_detects_each_disabled_mechanism() {
+    for mechanism in DETECTED_MECHANISMS {
         let unguarded = Mechanisms { start_guard: false, ..Mechanisms::default() };
         let mechanisms = mechanism.without(unguarded);
-        let seen = (0..RUNS).any(|seed| catch_unwind(|| drop(run(seed, mechanisms))).is_err());
-        assert!(seen, "{} is missing and nothing was seen", mechanism.name);
+        let detected = (0..RUNS).any(|seed| catch_unwind(|| drop(run(seed, mechanisms))).is_err());
+        assert!(detected, "{} is disabled, but no failure was detected", mechanism.name);
     }
 }
--- a/crates/core/tests/agent_simulation/observer.rs
+++ b/crates/core/tests/agent_simulation/observer.rs
@@ -1,6 +1,6 @@
-//! What must hold of an agent's actions, judged from outside.
+//! Checks the invariants of an agent's actions from outside.
 
-use crate::agent_rig::KEY_HORIZON_MS;
+use crate::agent_harness::KEY_HORIZON_MS;
 use bytes::Bytes;
 use hickorycross_core::agent::{AgentAction, AgentEvent};
 use hickorycross_core::audit::Change;
@@ -10,18 +10,18 @@
 use hickorycross_core::{AttemptId, Now, UnixMs, Verdict};
 use indexmap::{IndexMap, IndexSet};
 
-/// The observer's own books.
+/// Independent record of the events and actions of an agent.
 #[derive(Default)]
 pub(crate) struct Observer {
     slots: u32,
     submits: IndexMap<AttemptId, Submit>,
     runs: IndexMap<AttemptId, Run>,
-    /// Attempts of which an entry was told that they did not run and will not.
+    /// Attempts reported as not run.
     not_run: IndexSet<AttemptId>,
     key_uses: IndexMap<KeyDigest, KeyUse>,
-    /// Pieces that an entry holds of an attempt's answer.
+    /// Chunks of an attempt's response that its entry has received.
     held: IndexMap<AttemptId, IndexMap<u32, Bytes>>,
-    /// Attempts whose fate an entry was told.
+    /// Attempts reported as accepted.
     accepted: IndexSet<AttemptId>,
     draining: bool,
     drained: u32,
@@ -34,8 +34,8 @@
 }
 
 struct Run {
-    pieces: Vec<Bytes>,
-    over: bool,
+    chunks: Vec<Bytes>,
+    ended: bool,
 }
 
 impl Observer {
@@ -47,29 +47,29 @@
         self.runs.len()
     }
 
-    /// The first piece that the entry does not hold.
-    pub(crate) fn held_by_entry(&self, attempt: AttemptId) -> u32 {
+    /// Returns the index of the first chunk that the entry has not received.
+    pub(crate) fn next_missing_chunk(&self, attempt: AttemptId) -> u32 {
         let Some(held) = self.held.get(&attempt) else { return 0 };
         (0..).find(|index| !held.contains_key(index)).unwrap_or(0)
     }
 
-    /// Makes the next piece of a run, unlike any other piece.
-    pub(crate) fn next_piece(&self, run: AttemptId) -> Bytes {
-        Bytes::from(format!("{run}/{}", self.runs[&run].pieces.len()))
+    /// Returns the next chunk of a run; every chunk has unique content.
+    pub(crate) fn next_chunk_of(&self, run: AttemptId) -> Bytes {
+        Bytes::from(format!("{run}/{}", self.runs[&run].chunks.len()))
     }
 
-    /// Notes an event before the agent handles it.
-    pub(crate) fn before(&mut self, now: Now, event: &AgentEvent) {
+    /// Records an event before the agent handles it.
+    pub(crate) fn observe_event(&mut self, now: Now, event: &AgentEvent) {
         match event {
             AgentEvent::Message { message: ToAgent::Submit(submit), .. } => {
                 self.submits.entry(submit.attempt).or_insert_with(|| (**submit).clone());
             }
             AgentEvent::BackendChunk { attempt, bytes } => {
-                self.runs[attempt].pieces.push(bytes.clone());
+                self.runs[attempt].chunks.push(bytes.clone());
             }
             AgentEvent::BackendEnd { attempt } => self.end_run(now, *attempt, Verdict::Ran),
             AgentEvent::BackendFailed { attempt, verdict, .. } => {
-                let answered = !self.runs[attempt].pieces.is_empty();
+                let answered = !self.runs[attempt].chunks.is_empty();
                 let verdict = if answered { Verdict::Ran } else { *verdict };
                 self.end_run(now, *attempt, verdict);
             }
@@ -78,7 +78,7 @@
         }
     }
 
-    pub(crate) fn see(&mut self, now: Now, action: &AgentAction) {
+    pub(crate) fn observe_action(&mut self, now: Now, action: &AgentAction) {
         match action {
             AgentAction::Start { attempt, deadline, .. } => self.start(now, *attempt, *deadline),
             AgentAction::Send { message, .. } => self.message(now, message),
@@ -87,39 +87,42 @@
                 assert!(!violated, "{record:?}");
             }
             AgentAction::Drained => {
-                assert!(self.runs.values().all(|run| run.over), "drained while running");
+                assert!(self.runs.values().all(|run| run.ended), "drained while running");
                 self.drained += 1;
             }
-            AgentAction::Abort { attempt } => assert!(!self.runs[attempt].over, "abort too late"),
+            AgentAction::Abort { attempt } => assert!(!self.runs[attempt].ended, "abort after end"),
         }
     }
 
     pub(crate) fn check_finished(&self) {
         assert_eq!(self.drained, 1, "drained exactly once");
-        assert!(self.runs.values().all(|run| run.over));
+        assert!(self.runs.values().all(|run| run.ended));
     }
 
     fn start(&mut self, now: Now, attempt: AttemptId, deadline: UnixMs) {
-        let running = self.runs.values().filter(|run| !run.over).count() as u32;
+        let running = self.runs.values().filter(|run| !run.ended).count() as u32;
         let submit = &self.submits[&attempt];
-        assert!(running < self.slots, "more than the slots");
+        assert!(running < self.slots, "more running requests than slots");
         assert_eq!(deadline, submit.deadline);
         assert!(now.unix_ms < deadline, "{attempt} started after its deadline");
-        assert!(!self.not_run.contains(&attempt), "{attempt} was said not to run");
+        assert!(
+            !self.not_run.contains(&attempt),
+            "{attempt} started after it was reported as not run"
+        );
         assert!(!self.draining, "{attempt} started while draining");
-        assert!(self.accepted.contains(&attempt), "{attempt} was not accepted");
+        assert!(self.accepted.contains(&attempt), "{attempt} started without being accepted");
         if let Some(key) = submit.key.filter(|_| !submit.idempotent) {
             let running = KeyUse { content: submit.content, free_at: UnixMs::NEVER };
             let before = self.key_uses.insert(key, running);
             let free = before.is_none_or(|before| before.free_at <= now.unix_ms);
-            assert!(free, "the key of {attempt} ran before");
+            assert!(free, "the key of {attempt} ran twice");
         }
-        let run = Run { pieces: Vec::new(), over: false };
+        let run = Run { chunks: Vec::new(), ended: false };
         assert!(self.runs.insert(attempt, run).is_none(), "{attempt} started twice");
     }
 
     fn end_run(&mut self, now: Now, attempt: AttemptId, verdict: Verdict) {
-        self.runs[&attempt].over = true;
+        self.runs[&attempt].ended = true;
         let Some(key) = self.submits[&attempt].key else { return };
         let horizon_ms = if verdict == Verdict::NotRun { 0 } else { KEY_HORIZON_MS };
         self.key_uses[&key].free_at = now.after(horizon_ms.into());
@@ -131,33 +134,43 @@
                 self.accepted.insert(*attempt);
             }
             ToEntry::Refused { attempt, reason, .. } => {
-                let other_life = *reason == RefusalReason::WrongIncarnation;
-                assert!(other_life || !self.runs.contains_key(attempt), "{attempt} did run");
+                let other_incarnation = *reason == RefusalReason::WrongIncarnation;
+                assert!(
+                    other_incarnation || !self.runs.contains_key(attempt),
+                    "{attempt} ran but was reported as not run"
+                );
                 if self.not_run.insert(*attempt) {
                     self.check_key_unused(now, *attempt, *reason);
                 }
             }
             ToEntry::Revoked { attempt, outcome: RevokeOutcome::Tombstoned } => {
-                assert!(!self.runs.contains_key(attempt), "{attempt} did run");
+                assert!(
+                    !self.runs.contains_key(attempt),
+                    "{attempt} ran but was reported as not run"
+                );
                 self.not_run.insert(*attempt);
             }
             ToEntry::Failed { attempt, verdict: Verdict::NotRun, .. } => {
-                let over = |run: &Run| run.over && run.pieces.is_empty();
-                assert!(self.runs_of(*attempt).any(over), "{attempt} may have run");
+                let ended = |run: &Run| run.ended && run.chunks.is_empty();
+                assert!(
+                    self.runs_of(*attempt).any(ended),
+                    "{attempt} may have run but was reported as not run"
+                );
             }
             ToEntry::Chunk { attempt, index, bytes } => self.chunk(*attempt, *index, bytes),
             ToEntry::End { attempt, chunk_count, byte_count, .. } => {
-                let whole = self.runs_of(*attempt).any(|run| {
-                    let bytes: u64 = run.pieces.iter().map(|piece| piece.len() as u64).sum();
-                    run.over && run.pieces.len() == *chunk_count as usize && bytes == *byte_count
+                let is_complete = self.runs_of(*attempt).any(|run| {
+                    let bytes: u64 = run.chunks.iter().map(|chunk| chunk.len() as u64).sum();
+                    run.ended && run.chunks.len() == *chunk_count as usize && bytes == *byte_count
                 });
-                assert!(whole, "{attempt} was not whole");
+                assert!(is_complete, "{attempt} got an end marker without a complete response");
             }
             _ => {}
         }
     }
 
-    /// A refusal for the agent's state says that the request was not run, under no attempt.
+    /// Checks that a refusal for the agent's state, which reports the request as not run under any
+    /// attempt, does not concern a used key.
     fn check_key_unused(&self, now: Now, attempt: AttemptId, reason: RefusalReason) {
         let of_state = matches!(
             reason,
@@ -175,16 +188,20 @@
         );
     }
 
-    /// A piece must be that piece of a run of this very request, and always the same one.
+    /// Checks that a chunk belongs to a run of this request and never changes.
     fn chunk(&mut self, attempt: AttemptId, index: u32, bytes: &Bytes) {
-        let known = self.runs_of(attempt).any(|run| run.pieces.get(index as usize) == Some(bytes));
-        assert!(known, "{attempt} got a stranger's piece");
+        let is_known =
+            self.runs_of(attempt).any(|run| run.chunks.get(index as usize) == Some(bytes));
+        assert!(is_known, "{attempt} got a chunk of another request");
         let held = self.held.entry(attempt).or_default();
         let before = held.insert(index, bytes.clone());
-        assert!(before.is_none_or(|before| before == *bytes), "{attempt} got two answers");
+        assert!(
+            before.is_none_or(|before| before == *bytes),
+            "{attempt} got two different chunks with one index"
+        );
     }
 
-    /// The attempt's own run, and those of its key for the same request.
+    /// Returns the attempt's own run, and the runs of the same request with the same key.
     fn runs_of(&self, attempt: AttemptId) -> impl Iterator<Item = &Run> {
         let own = self.submits.get(&attempt);
         self.runs
