--- a/crates/agent/src/group/loading.rs
+++ b/crates/agent/src/group/loading.rs
@@ -7,13 +7,13 @@
     loads_within,
 };
 use hickorycross_core::group::{GroupEvent, MapRef};
-use hickorycross_core::placement::{LoaderSettings, ServerLoadCap};
+use hickorycross_core::placement::{ServerLoadCap, WeightLoaderSettings};
 use std::ops::Range;
 
 /// What a document lets the agents of a group load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct StorePace {
-    loader: LoaderSettings,
+    loader: WeightLoaderSettings,
     ranks_per_server: u16,
 }
 
@@ -22,7 +22,7 @@
         let is_engine = |kind| kind == BackendKind::Engine;
         let servers = document.backend_servers.iter();
         let engines = servers.filter(|server| is_engine(server.kind)).count();
-        let loader = LoaderSettings {
+        let loader = WeightLoaderSettings {
             store_bytes_per_s: document.balance.weight_store_bytes_per_s,
             agents: u32::try_from(engines).unwrap_or(u32::MAX),
             expert_bytes: group.expert_bytes,
--- a/crates/core/src/group/stage_gate.rs
+++ b/crates/core/src/group/stage_gate.rs
@@ -1,13 +1,14 @@
 //! Holds back the loads of a change until the agent's fair share of the weight store covers them.
 //!
-//! An engine loads all that a map needs on one order. The gate has a [`Loader`] pace the experts one
+//! An engine loads all that a map needs on one order. The gate has a [`WeightLoader`] pace the experts one
 //! by one and lets the order through when the turn of the last one has come; a refused order waits
 //! as a refused load does. No agent tells another what it loads: each keeps to its own share.
 
 use super::map::{ExpertMap, MapRef};
 use super::timing::STAGE_DEADLINE_MS;
 use crate::placement::{
-    AbandonCause, ExpertLoad, LoadAction, LoadEvent, LoadKey, Loader, LoaderSettings,
+    AbandonCause, WeightLoad, WeightLoadAction, WeightLoadEvent, WeightLoadKey, WeightLoader,
+    WeightLoaderSettings,
 };
 use crate::{Now, UnixMs};
 use std::ops::Range;
@@ -41,8 +42,8 @@
 /// The gate before one engine.
 #[derive(Debug)]
 pub struct StageGate {
-    settings: LoaderSettings,
-    loader: Loader,
+    settings: WeightLoaderSettings,
+    loader: WeightLoader,
     stage: Option<GatedStage>,
 }
 
@@ -50,7 +51,7 @@
 #[derive(Clone, Debug)]
 struct GatedStage {
     map: MapRef,
-    loads: Vec<ExpertLoad>,
+    loads: Vec<WeightLoad>,
     give_up_at: UnixMs,
     progress: Progress,
 }
@@ -61,28 +62,28 @@
     /// It waits for its share or for the end of a back-off.
     Held,
     /// It may go to the engine; the key is that of its last load.
-    Due(LoadKey),
+    Due(WeightLoadKey),
     /// The engine has it.
-    Given(LoadKey),
+    Given(WeightLoadKey),
 }
 
 impl StageGate {
     /// A gate that holds nothing. The seed fixes the jitter after refusals.
     #[must_use]
-    pub fn new(settings: LoaderSettings, seed: u64) -> Self {
-        Self { settings, loader: Loader::new(settings, seed), stage: None }
+    pub fn new(settings: WeightLoaderSettings, seed: u64) -> Self {
+        Self { settings, loader: WeightLoader::new(settings, seed), stage: None }
     }
 
     /// The pace that the gate keeps.
     #[must_use]
-    pub fn settings(&self) -> LoaderSettings {
+    pub fn settings(&self) -> WeightLoaderSettings {
         self.settings
     }
 
     /// Follows a document with another pace; an order that is held starts its turns anew.
-    pub fn set_pace(&mut self, now: Now, settings: LoaderSettings, seed: u64) {
+    pub fn set_pace(&mut self, now: Now, settings: WeightLoaderSettings, seed: u64) {
         self.settings = settings;
-        self.loader = Loader::new(settings, seed);
+        self.loader = WeightLoader::new(settings, seed);
         let held = self.stage.take_if(|stage| stage.progress == Progress::Held);
         self.stage = None;
         if let Some(stage) = held {
@@ -101,7 +102,7 @@
     }
 
     /// Judges the order to load a map for which the engine lacks `loads`.
-    pub fn ask(&mut self, now: Now, map: MapRef, loads: Vec<ExpertLoad>) -> StageVerdict {
+    pub fn ask(&mut self, now: Now, map: MapRef, loads: Vec<WeightLoad>) -> StageVerdict {
         match self.progress_of(map) {
             Some(Progress::Held) => StageVerdict::Hold,
             Some(Progress::Due(last)) => {
@@ -127,7 +128,7 @@
     /// Learns that the engine has loaded a map.
     pub fn staged(&mut self, map: MapRef) {
         if self.stage.take_if(|stage| stage.map == map).is_some() {
-            self.loader.adopted(map.version);
+            self.loader.finish_change(map.version);
         }
     }
 
@@ -146,7 +147,7 @@
         }
     }
 
-    fn first_asked(&mut self, now: Now, map: MapRef, loads: Vec<ExpertLoad>) -> StageVerdict {
+    fn first_asked(&mut self, now: Now, map: MapRef, loads: Vec<WeightLoad>) -> StageVerdict {
         if loads.is_empty() {
             return self.pass();
         }
@@ -173,9 +174,9 @@
         self.take_turns(now);
     }
 
-    fn refused(&mut self, now: Now, last: LoadKey) {
+    fn refused(&mut self, now: Now, last: WeightLoadKey) {
         self.set_progress(Progress::Held);
-        self.loader.handle(now, LoadEvent::Refused(last));
+        self.loader.handle(now, WeightLoadEvent::Refused(last));
     }
 
     /// Takes each turn at its own moment.
@@ -198,29 +199,29 @@
     }
 
     /// Takes a load whose turn has come for paid, but for the last one: that is the order itself.
-    fn follow(&mut self, now: Now, actions: Vec<LoadAction>) {
+    fn follow(&mut self, now: Now, actions: Vec<WeightLoadAction>) {
         for action in actions {
             match action {
-                LoadAction::Start(key) if self.is_last(&key) => {
+                WeightLoadAction::Start(key) if self.is_last(&key) => {
                     self.set_progress(Progress::Due(key));
                 }
-                LoadAction::Start(key) => {
-                    let next = self.loader.handle(now, LoadEvent::Loaded(key));
+                WeightLoadAction::Start(key) => {
+                    let next = self.loader.handle(now, WeightLoadEvent::Loaded(key));
                     self.follow(now, next);
                 }
-                LoadAction::Abandon { cause, .. } if cause != AbandonCause::Withdrawn => {
+                WeightLoadAction::Abandon { cause, .. } if cause != AbandonCause::Withdrawn => {
                     self.stage = None;
                 }
                 // The engine frees a map as a whole, when the coordinator no longer names it.
-                LoadAction::Abandon { .. }
-                | LoadAction::Cancel(_)
-                | LoadAction::Discard(_)
-                | LoadAction::Ready { .. } => {}
+                WeightLoadAction::Abandon { .. }
+                | WeightLoadAction::Cancel(_)
+                | WeightLoadAction::Discard(_)
+                | WeightLoadAction::Ready { .. } => {}
             }
         }
     }
 
-    fn is_last(&self, key: &LoadKey) -> bool {
+    fn is_last(&self, key: &WeightLoadKey) -> bool {
         self.stage.as_ref().and_then(|stage| stage.loads.last()) == Some(&key.load)
     }
 
@@ -235,8 +236,8 @@
 
 /// Experts that an agent's fair share pays for within a span.
 #[must_use]
-pub fn loads_within(settings: &LoaderSettings, span_ms: u64) -> u64 {
-    span_ms / settings.turn_ms().max(1)
+pub fn loads_within(settings: &WeightLoaderSettings, span_ms: u64) -> u64 {
+    span_ms / settings.load_interval_ms().max(1)
 }
 
 /// Lists the experts of a map that `ranks` hold in no map that is loaded.
@@ -247,19 +248,19 @@
     ranks: Range<u16>,
     loaded: impl Iterator<Item = &'a ExpertMap> + Clone,
     wanted: &ExpertMap,
-) -> Vec<ExpertLoad> {
+) -> Vec<WeightLoad> {
     let mut loads = Vec::new();
     for (layer, placement) in (0..).zip(&wanted.layers) {
         for rank in ranks.clone() {
             let experts = placement.experts_of_rank.get(usize::from(rank)).into_iter().flatten();
-            let needed = experts.map(|&expert| ExpertLoad { layer, expert, rank });
+            let needed = experts.map(|&expert| WeightLoad { layer, expert, rank });
             loads.extend(needed.filter(|load| !loaded.clone().any(|map| holds(map, load))));
         }
     }
     loads
 }
 
-fn holds(map: &ExpertMap, load: &ExpertLoad) -> bool {
+fn holds(map: &ExpertMap, load: &WeightLoad) -> bool {
     let layer = map.layers.get(usize::from(load.layer));
     let experts = layer.and_then(|layer| layer.experts_of_rank.get(usize::from(load.rank)));
     experts.is_some_and(|experts| experts.contains(&load.expert))
--- a/crates/core/src/map_change/change.rs
+++ b/crates/core/src/map_change/change.rs
@@ -100,7 +100,7 @@
         let mut ranks: Vec<u16> = self.seats.keys().copied().collect();
         let Some((_, present)) = &self.map else { return ranks };
         let mut copies = vec![0_u32; present.ranks()];
-        for load in present.loads_towards(map) {
+        for load in present.weight_loads_for(map) {
             copies[usize::from(load.rank)] += 1;
         }
         ranks.sort_by_key(|rank| Reverse(copies.get(usize::from(*rank)).copied()));
--- a/crates/core/src/placement/change.rs
+++ b/crates/core/src/placement/change.rs
@@ -14,7 +14,7 @@
     if *present == target {
         return None;
     }
-    let loads = present.loads_towards(&target);
+    let loads = present.weight_loads_for(&target);
     let moved_bytes = estimator.shape().expert_bytes.saturating_mul(loads.len() as u64);
     let prediction = Prediction {
         skew_before: map_skew(estimator, present),
--- a/crates/core/src/placement/layer.rs
+++ b/crates/core/src/placement/layer.rs
@@ -41,7 +41,7 @@
 
 /// One expert's weights to be loaded by one rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ExpertLoad {
+pub struct WeightLoad {
     /// Index of the layer.
     pub layer: u16,
     /// Index of the expert in its layer.
@@ -190,12 +190,12 @@
 
     /// Lists what ranks must load so that `target` can follow this map.
     #[must_use]
-    pub fn loads_towards(&self, target: &Self) -> Vec<ExpertLoad> {
+    pub fn weight_loads_for(&self, target: &Self) -> Vec<WeightLoad> {
         let mut loads = Vec::new();
         for (layer, (present, wanted)) in (0..).zip(self.layers.iter().zip(&target.layers)) {
             for (rank, experts) in (0..).zip(&wanted.experts_of_rank) {
                 let missing = experts.iter().filter(|expert| !present.holds(rank, **expert));
-                loads.extend(missing.map(|expert| ExpertLoad { layer, expert: *expert, rank }));
+                loads.extend(missing.map(|expert| WeightLoad { layer, expert: *expert, rank }));
             }
         }
         loads
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Step reports arrive late and feed a [`LoadEstimator`]. A [`RebalancePolicy`] compares the
 //! present [`ExpertMap`] with maps that a few loads would give and proposes a [`Change`] when that
-//! pays. The [`Loader`] of each agent turns the change into paced background loads. Whether and
+//! pays. The [`WeightLoader`] of each agent turns the change into paced background loads. Whether and
 //! when the ranks adopt the new map is the business of the group agreement, not of this module.
 
 mod backoff;
@@ -13,7 +13,6 @@
 mod estimate;
 mod layer;
 mod level;
-mod loading;
 mod map_change;
 mod noise;
 mod pack;
@@ -27,16 +26,14 @@
 mod skew;
 mod static_map;
 mod threshold;
+mod weight_loader;
 mod weighted;
 
 pub use collect::{LoadCollector, RankLoad, SPAN_STEPS, SpanBuilder};
 pub use cost::{CostModel, HORIZON_MS, STALL_STEPS_PER_CHANGE};
 pub use estimate::LoadEstimator;
-pub use layer::{ExpertLoad, ExpertMap, LayerPlacement, MapFault};
+pub use layer::{ExpertMap, LayerPlacement, MapFault, WeightLoad};
 pub use level::{LevelSettings, bottleneck_load, level_map};
-pub use loading::{
-    AbandonCause, LoadAction, LoadEvent, LoadKey, Loader, LoaderSettings, LoaderState,
-};
 pub use map_change::MapChange;
 pub use pack::{pack_layer, pack_map, refine_layer};
 pub use periodic::PeriodicFull;
@@ -46,4 +43,8 @@
 pub use skew::layer_skew;
 pub use static_map::StaticMap;
 pub use threshold::PlainThreshold;
+pub use weight_loader::{
+    AbandonCause, WeightLoadAction, WeightLoadEvent, WeightLoadKey, WeightLoader,
+    WeightLoaderSettings, WeightLoaderState,
+};
 pub use weighted::{ServerLoadCap, Weighted, WeightedSettings};
--- a/crates/core/src/placement/policy.rs
+++ b/crates/core/src/placement/policy.rs
@@ -1,6 +1,6 @@
 //! The border between policies and those who drive them.
 
-use crate::placement::layer::{ExpertLoad, ExpertMap};
+use crate::placement::layer::{ExpertMap, WeightLoad};
 use crate::placement::report::{LoadReport, ReportFault};
 use crate::time::Now;
 
@@ -30,7 +30,7 @@
     /// The map to be adopted.
     pub target: ExpertMap,
     /// What ranks load before the map can be adopted.
-    pub loads: Vec<ExpertLoad>,
+    pub loads: Vec<WeightLoad>,
     /// What the policy expects of it.
     pub prediction: Prediction,
 }
--- a/crates/core/src/placement/loading.rs
+++ b/crates/core/src/placement/weight_loader.rs
@@ -6,7 +6,7 @@
 //! group cannot adopt a map that one rank cannot follow.
 
 use crate::placement::backoff::retry_at;
-use crate::placement::layer::ExpertLoad;
+use crate::placement::layer::WeightLoad;
 use crate::time::{Now, UnixMs};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -21,7 +21,7 @@
 
 /// What the pace of an agent's loads follows from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LoaderSettings {
+pub struct WeightLoaderSettings {
     /// Bytes a second that the weight store grants the whole fleet.
     pub store_bytes_per_s: u64,
     /// Agents that the document names; each may load at any time.
@@ -30,7 +30,7 @@
     pub expert_bytes: u64,
 }
 
-impl LoaderSettings {
+impl WeightLoaderSettings {
     /// Bytes a second that each agent may load.
     #[must_use]
     pub fn share_bytes_per_s(&self) -> u64 {
@@ -39,7 +39,7 @@
 
     /// The span in which the agent's fair share of the store's rate pays for one load.
     #[must_use]
-    pub fn turn_ms(&self) -> u64 {
+    pub fn load_interval_ms(&self) -> u64 {
         let share = self.share_bytes_per_s().max(1);
         self.expert_bytes.saturating_mul(MS_PER_S).div_ceil(share)
     }
@@ -47,33 +47,33 @@
 
 /// Names one load of one change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct LoadKey {
+pub struct WeightLoadKey {
     /// Version of the map that the change would bring.
     pub map_version: u64,
     /// What is loaded where.
-    pub load: ExpertLoad,
+    pub load: WeightLoad,
 }
 
 /// What became of a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LoadEvent {
+pub enum WeightLoadEvent {
     /// The weights are in place beside those in use.
-    Loaded(LoadKey),
+    Loaded(WeightLoadKey),
     /// The weight store had no room in its rate; nothing was read.
-    Refused(LoadKey),
+    Refused(WeightLoadKey),
     /// The engine or the weight store reported an error.
-    Failed(LoadKey),
+    Failed(WeightLoadKey),
 }
 
 /// What the agent is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LoadAction {
+pub enum WeightLoadAction {
     /// Start a load.
-    Start(LoadKey),
+    Start(WeightLoadKey),
     /// Stop a load that was started.
-    Cancel(LoadKey),
+    Cancel(WeightLoadKey),
     /// Free weights that were loaded and are not in use.
-    Discard(LoadKey),
+    Discard(WeightLoadKey),
     /// All loads are in place: the ranks of this agent can follow the map.
     Ready {
         /// Version of the map.
@@ -104,7 +104,7 @@
 
 /// Where a loader stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LoaderState {
+pub enum WeightLoaderState {
     /// No change is on the way.
     Idle,
     /// Loads are outstanding.
@@ -123,8 +123,8 @@
 
 /// Loads of one agent.
 #[derive(Clone, Debug)]
-pub struct Loader {
-    settings: LoaderSettings,
+pub struct WeightLoader {
+    settings: WeightLoaderSettings,
     rng: ChaCha8Rng,
     change: Option<StagedChange>,
     open_at: UnixMs,
@@ -141,7 +141,7 @@
 /// One load.
 #[derive(Clone, Copy, Debug)]
 struct LoadRow {
-    load: ExpertLoad,
+    load: WeightLoad,
     refusals: u32,
     progress: Progress,
 }
@@ -154,10 +154,10 @@
     Loaded,
 }
 
-impl Loader {
+impl WeightLoader {
     /// An idle loader. The seed fixes its jitter.
     #[must_use]
-    pub fn new(settings: LoaderSettings, seed: u64) -> Self {
+    pub fn new(settings: WeightLoaderSettings, seed: u64) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(seed);
         Self { settings, rng, change: None, open_at: UnixMs::default() }
     }
@@ -167,37 +167,37 @@
         &mut self,
         now: Now,
         map_version: u64,
-        loads: &[ExpertLoad],
+        loads: &[WeightLoad],
         give_up_at: UnixMs,
-    ) -> Vec<LoadAction> {
+    ) -> Vec<WeightLoadAction> {
         let mut actions = self.abandon(AbandonCause::Withdrawn);
         let progress = Progress::Waiting { retry_at: now.unix_ms };
-        let row = |load: &ExpertLoad| LoadRow { load: *load, refusals: 0, progress };
+        let row = |load: &WeightLoad| LoadRow { load: *load, refusals: 0, progress };
         let rows = loads.iter().map(row).collect();
         self.change = Some(StagedChange { map_version, give_up_at, rows });
         if loads.is_empty() {
-            actions.push(LoadAction::Ready { map_version });
+            actions.push(WeightLoadAction::Ready { map_version });
         }
         actions.extend(self.tick(now));
         actions
     }
 
     /// Withdraws the change on the way, as its coordinator asks.
-    pub fn withdraw(&mut self) -> Vec<LoadAction> {
+    pub fn withdraw(&mut self) -> Vec<WeightLoadAction> {
         self.abandon(AbandonCause::Withdrawn)
     }
 
     /// Forgets the change whose map is now in use; its weights stay.
-    pub fn adopted(&mut self, map_version: u64) {
+    pub fn finish_change(&mut self, map_version: u64) {
         self.change.take_if(|change| change.map_version == map_version);
     }
 
     /// Takes an answer of the engine.
-    pub fn handle(&mut self, now: Now, event: LoadEvent) -> Vec<LoadAction> {
+    pub fn handle(&mut self, now: Now, event: WeightLoadEvent) -> Vec<WeightLoadAction> {
         match event {
-            LoadEvent::Loaded(key) => self.loaded(now, key),
-            LoadEvent::Refused(key) => self.refused(now, key),
-            LoadEvent::Failed(key) => match self.running_row(key) {
+            WeightLoadEvent::Loaded(key) => self.loaded(now, key),
+            WeightLoadEvent::Refused(key) => self.refused(now, key),
+            WeightLoadEvent::Failed(key) => match self.running_row(key) {
                 Some(_) => self.abandon(AbandonCause::Failed),
                 None => Vec::new(),
             },
@@ -205,14 +205,14 @@
     }
 
     /// Starts what is due and abandons what is late.
-    pub fn tick(&mut self, now: Now) -> Vec<LoadAction> {
+    pub fn tick(&mut self, now: Now) -> Vec<WeightLoadAction> {
         match self.overdue(now) {
             Some(cause) => self.abandon(cause),
             None => self.start_next(now).into_iter().collect(),
         }
     }
 
-    /// The next moment at which [`Loader::tick`] has something to do.
+    /// The next moment at which [`WeightLoader::tick`] has something to do.
     #[must_use]
     pub fn next_at(&self) -> UnixMs {
         let Some(change) = self.change.as_ref().filter(|change| !change.is_ready()) else {
@@ -229,17 +229,17 @@
 
     /// Where the loader stands.
     #[must_use]
-    pub fn state(&self) -> LoaderState {
-        let Some(change) = &self.change else { return LoaderState::Idle };
+    pub fn state(&self) -> WeightLoaderState {
+        let Some(change) = &self.change else { return WeightLoaderState::Idle };
         let map_version = change.map_version;
         match change.outstanding() {
-            0 => LoaderState::Ready { map_version },
-            outstanding => LoaderState::Loading { map_version, outstanding },
+            0 => WeightLoaderState::Ready { map_version },
+            outstanding => WeightLoaderState::Loading { map_version, outstanding },
         }
     }
 
-    fn turn_ms(&self) -> u64 {
-        self.settings.turn_ms()
+    fn load_interval_ms(&self) -> u64 {
+        self.settings.load_interval_ms()
     }
 
     fn overdue(&self, now: Now) -> Option<AbandonCause> {
@@ -257,8 +257,8 @@
         change.give_up_at.is_past(now).then_some(AbandonCause::Expired)
     }
 
-    fn start_next(&mut self, now: Now) -> Option<LoadAction> {
-        let turn_ms = self.turn_ms();
+    fn start_next(&mut self, now: Now) -> Option<WeightLoadAction> {
+        let load_interval_ms = self.load_interval_ms();
         let change = self.change.as_mut()?;
         if !self.open_at.is_past(now) || change.rows.iter().any(LoadRow::is_running) {
             return None;
@@ -267,24 +267,24 @@
         // The most refused load goes first, so that none is passed over while others succeed.
         let due = change.rows.iter_mut().rev().filter(|row| row.is_due(now));
         let row = due.max_by_key(|row| row.refusals)?;
-        let late_ms = turn_ms.saturating_mul(LATE_FACTOR).max(LEAST_LATE_MS);
+        let late_ms = load_interval_ms.saturating_mul(LATE_FACTOR).max(LEAST_LATE_MS);
         row.progress = Progress::Running { late_at: now.after(late_ms) };
-        self.open_at = now.after(turn_ms);
-        Some(LoadAction::Start(LoadKey { map_version, load: row.load }))
+        self.open_at = now.after(load_interval_ms);
+        Some(WeightLoadAction::Start(WeightLoadKey { map_version, load: row.load }))
     }
 
-    fn running_row(&mut self, key: LoadKey) -> Option<&mut LoadRow> {
+    fn running_row(&mut self, key: WeightLoadKey) -> Option<&mut LoadRow> {
         let change = self.change.as_mut()?;
         let is_meant = change.map_version == key.map_version;
         let mut rows = change.rows.iter_mut();
         rows.find(|row| is_meant && row.load == key.load && row.is_running())
     }
 
-    fn loaded(&mut self, now: Now, key: LoadKey) -> Vec<LoadAction> {
+    fn loaded(&mut self, now: Now, key: WeightLoadKey) -> Vec<WeightLoadAction> {
         let Some(row) = self.running_row(key) else { return self.discard_stray(key) };
         row.progress = Progress::Loaded;
-        if let LoaderState::Ready { map_version } = self.state() {
-            return vec![LoadAction::Ready { map_version }];
+        if let WeightLoaderState::Ready { map_version } = self.state() {
+            return vec![WeightLoadAction::Ready { map_version }];
         }
         self.tick(now)
     }
@@ -293,19 +293,19 @@
     ///
     /// A cancelled load may still end. Its weights would keep a slot for ever, and a later change
     /// would find no room on that rank.
-    fn discard_stray(&self, key: LoadKey) -> Vec<LoadAction> {
+    fn discard_stray(&self, key: WeightLoadKey) -> Vec<WeightLoadAction> {
         let is_known = self.change.as_ref().is_some_and(|change| {
             let holds = |row: &LoadRow| row.load == key.load && row.progress == Progress::Loaded;
             change.map_version == key.map_version && change.rows.iter().any(holds)
         });
-        if is_known { Vec::new() } else { vec![LoadAction::Discard(key)] }
+        if is_known { Vec::new() } else { vec![WeightLoadAction::Discard(key)] }
     }
 
-    fn refused(&mut self, now: Now, key: LoadKey) -> Vec<LoadAction> {
+    fn refused(&mut self, now: Now, key: WeightLoadKey) -> Vec<WeightLoadAction> {
         let Some(row) = self.running_row(key) else { return Vec::new() };
         let refusals = row.refusals.saturating_add(1);
-        let turn_ms = self.turn_ms();
-        let retry_at = retry_at(now, refusals, turn_ms, &mut self.rng);
+        let load_interval_ms = self.load_interval_ms();
+        let retry_at = retry_at(now, refusals, load_interval_ms, &mut self.rng);
         if let Some(row) = self.running_row(key) {
             row.refusals = refusals;
             row.progress = Progress::Waiting { retry_at };
@@ -315,19 +315,19 @@
         Vec::new()
     }
 
-    fn abandon(&mut self, cause: AbandonCause) -> Vec<LoadAction> {
+    fn abandon(&mut self, cause: AbandonCause) -> Vec<WeightLoadAction> {
         let Some(change) = self.change.take() else { return Vec::new() };
         let map_version = change.map_version;
         let undo = |row: &LoadRow| {
-            let key = LoadKey { map_version, load: row.load };
+            let key = WeightLoadKey { map_version, load: row.load };
             match row.progress {
                 Progress::Waiting { .. } => None,
-                Progress::Running { .. } => Some(LoadAction::Cancel(key)),
-                Progress::Loaded => Some(LoadAction::Discard(key)),
+                Progress::Running { .. } => Some(WeightLoadAction::Cancel(key)),
+                Progress::Loaded => Some(WeightLoadAction::Discard(key)),
             }
         };
-        let mut actions: Vec<LoadAction> = change.rows.iter().filter_map(undo).collect();
-        actions.push(LoadAction::Abandon { map_version, cause });
+        let mut actions: Vec<WeightLoadAction> = change.rows.iter().filter_map(undo).collect();
+        actions.push(WeightLoadAction::Abandon { map_version, cause });
         actions
     }
 }
--- a/crates/core/tests/group_stage_gate.rs
+++ b/crates/core/tests/group_stage_gate.rs
@@ -6,7 +6,7 @@
 use hickorycross_core::group::{
     ExpertMap, MapRef, MapShape, StageGate, StageNews, StageVerdict, lacking_experts, loads_within,
 };
-use hickorycross_core::placement::{ExpertLoad, LoaderSettings};
+use hickorycross_core::placement::{WeightLoad, WeightLoaderSettings};
 
 const SHAPE: MapShape = MapShape { ranks: 4, experts: 8, layers: 2 };
 const SEED: u64 = 5;
@@ -20,13 +20,13 @@
     ExpertMap::uniform(version, SHAPE).reference()
 }
 
-fn loads(count: u16) -> Vec<ExpertLoad> {
-    (0..count).map(|expert| ExpertLoad { layer: 0, expert, rank: 0 }).collect()
+fn loads(count: u16) -> Vec<WeightLoad> {
+    (0..count).map(|expert| WeightLoad { layer: 0, expert, rank: 0 }).collect()
 }
 
 /// Experts of 1,000 bytes.
-fn settings(store_bytes_per_s: u64, agents: u32) -> LoaderSettings {
-    LoaderSettings { store_bytes_per_s, agents, expert_bytes: 1_000 }
+fn settings(store_bytes_per_s: u64, agents: u32) -> WeightLoaderSettings {
+    WeightLoaderSettings { store_bytes_per_s, agents, expert_bytes: 1_000 }
 }
 
 /// Ticks until there is news; gives the moment.
@@ -38,7 +38,7 @@
 
 struct PaceCase {
     name: &'static str,
-    settings: LoaderSettings,
+    settings: WeightLoaderSettings,
     /// Wait for the order to load six experts, in ticks.
     waits_ms: u64,
 }
@@ -204,7 +204,7 @@
     wanted.layers[1].experts_of_rank[3] = vec![3, 0];
     let lacking =
         |ranks, loaded: &[&ExpertMap]| lacking_experts(ranks, loaded.iter().copied(), &wanted);
-    let load = |expert, rank| ExpertLoad { layer: 1, expert, rank };
+    let load = |expert, rank| WeightLoad { layer: 1, expert, rank };
     expect_that!(lacking(0..2, &[&present]), is_empty());
     expect_that!(lacking(2..4, &[&present]), elements_are![eq(&load(7, 2)), eq(&load(0, 3))]);
     expect_that!(lacking(2..4, &[&present, &wanted]), is_empty());
--- a/crates/core/tests/map_orders.rs
+++ b/crates/core/tests/map_orders.rs
@@ -76,7 +76,7 @@
         LeaderAction::Note(_) => None,
     });
     let copies = |(rank, map): (u16, Arc<ExpertMap>)| {
-        present.loads_towards(&map).iter().filter(|load| load.rank == rank).count()
+        present.weight_loads_for(&map).iter().filter(|load| load.rank == rank).count()
     };
     told.take(usize::from(RANKS)).map(copies).collect()
 }
--- a/crates/core/tests/placement_level.rs
+++ b/crates/core/tests/placement_level.rs
@@ -85,7 +85,7 @@
             expect_that!(map.validate(&shape), ok(anything()), "{} seed {seed}", case.name);
             let after = bottleneck_load(&map, &loads, &paces) / even(&loads);
             expect_that!(after, le(case.most_after), "{} seed {seed}", case.name);
-            let copies = present.loads_towards(&map);
+            let copies = present.weight_loads_for(&map);
             for rank in 0..RANKS {
                 let of_rank = copies.iter().filter(|copy| copy.rank == rank);
                 expect_that!(
--- a/crates/core/tests/placement_map.rs
+++ b/crates/core/tests/placement_map.rs
@@ -154,7 +154,7 @@
 
 fn check_change(shape: &GroupShape, present: &ExpertMap, change: &Change) {
     assert_eq!(change.target.validate(shape), Ok(()));
-    assert_eq!(change.loads, present.loads_towards(&change.target));
+    assert_eq!(change.loads, present.weight_loads_for(&change.target));
     assert_eq!(change.prediction.moved_bytes, change.loads.len() as u64 * shape.expert_bytes);
 }
 
--- a/crates/core/tests/placement_loading.rs
+++ b/crates/core/tests/placement_weight_loader.rs
@@ -2,58 +2,65 @@
 
 use googletest::prelude::*;
 use hickorycross_core::placement::{
-    AbandonCause, ExpertLoad, LoadAction, LoadEvent, LoadKey, Loader, LoaderSettings, LoaderState,
+    AbandonCause, WeightLoad, WeightLoadAction, WeightLoadEvent, WeightLoadKey, WeightLoader,
+    WeightLoaderSettings, WeightLoaderState,
 };
 use hickorycross_core::{Now, UnixMs};
 
 const VERSION: u64 = 7;
 const GIVE_UP_AT: UnixMs = UnixMs(600_000);
 /// A fair share pays for one expert in a tenth of a second.
-const SETTINGS: LoaderSettings =
-    LoaderSettings { store_bytes_per_s: 1_000_000, agents: 10, expert_bytes: 10_000 };
+const SETTINGS: WeightLoaderSettings =
+    WeightLoaderSettings { store_bytes_per_s: 1_000_000, agents: 10, expert_bytes: 10_000 };
 const TURN_MS: u64 = 100;
 
-fn load(expert: u16) -> ExpertLoad {
-    ExpertLoad { layer: 0, expert, rank: 3 }
+fn load(expert: u16) -> WeightLoad {
+    WeightLoad { layer: 0, expert, rank: 3 }
 }
 
-fn key(expert: u16) -> LoadKey {
-    LoadKey { map_version: VERSION, load: load(expert) }
+fn key(expert: u16) -> WeightLoadKey {
+    WeightLoadKey { map_version: VERSION, load: load(expert) }
 }
 
-fn started(loads: &[ExpertLoad]) -> Loader {
-    let mut loader = Loader::new(SETTINGS, 1);
+fn started(loads: &[WeightLoad]) -> WeightLoader {
+    let mut loader = WeightLoader::new(SETTINGS, 1);
     let actions = loader.begin(Now::at(0), VERSION, loads, GIVE_UP_AT);
-    assert_eq!(actions, [LoadAction::Start(LoadKey { map_version: VERSION, load: loads[0] })]);
+    assert_eq!(
+        actions,
+        [WeightLoadAction::Start(WeightLoadKey { map_version: VERSION, load: loads[0] })]
+    );
     loader
 }
 
 #[gtest]
 fn loads_keep_to_the_fair_share() {
     let mut loader = started(&[load(0), load(1)]);
-    expect_that!(loader.handle(Now::at(1), LoadEvent::Loaded(key(0))), is_empty());
+    expect_that!(loader.handle(Now::at(1), WeightLoadEvent::Loaded(key(0))), is_empty());
     expect_that!(loader.next_at(), eq(UnixMs(TURN_MS)));
     expect_that!(loader.tick(Now::at(TURN_MS - 1)), is_empty());
-    expect_that!(loader.tick(Now::at(TURN_MS)), elements_are![eq(&LoadAction::Start(key(1)))]);
-    let ready = loader.handle(Now::at(TURN_MS + 1), LoadEvent::Loaded(key(1)));
-    expect_that!(ready, elements_are![eq(&LoadAction::Ready { map_version: VERSION })]);
-    expect_that!(loader.state(), eq(LoaderState::Ready { map_version: VERSION }));
+    expect_that!(
+        loader.tick(Now::at(TURN_MS)),
+        elements_are![eq(&WeightLoadAction::Start(key(1)))]
+    );
+    let ready = loader.handle(Now::at(TURN_MS + 1), WeightLoadEvent::Loaded(key(1)));
+    expect_that!(ready, elements_are![eq(&WeightLoadAction::Ready { map_version: VERSION })]);
+    expect_that!(loader.state(), eq(WeightLoaderState::Ready { map_version: VERSION }));
     expect_that!(loader.tick(Now::at(GIVE_UP_AT.0)), is_empty());
-    loader.adopted(VERSION);
-    expect_that!(loader.state(), eq(LoaderState::Idle));
+    loader.finish_change(VERSION);
+    expect_that!(loader.state(), eq(WeightLoaderState::Idle));
 }
 
 #[gtest]
 fn change_without_loads_is_ready_at_once() {
-    let mut loader = Loader::new(SETTINGS, 1);
+    let mut loader = WeightLoader::new(SETTINGS, 1);
     let actions = loader.begin(Now::at(0), VERSION, &[], GIVE_UP_AT);
-    expect_that!(actions, elements_are![eq(&LoadAction::Ready { map_version: VERSION })]);
+    expect_that!(actions, elements_are![eq(&WeightLoadAction::Ready { map_version: VERSION })]);
 }
 
 struct AbandonCase {
     name: &'static str,
     /// Applied after the first of three loads is in place and the second runs.
-    then: fn(&mut Loader) -> Vec<LoadAction>,
+    then: fn(&mut WeightLoader) -> Vec<WeightLoadAction>,
     cause: AbandonCause,
     /// Whether the second load is still running when the change is abandoned.
     is_running: bool,
@@ -69,7 +76,7 @@
     let cases = [
         AbandonCase {
             name: "failed",
-            then: |loader| loader.handle(Now::at(150), LoadEvent::Failed(key(1))),
+            then: |loader| loader.handle(Now::at(150), WeightLoadEvent::Failed(key(1))),
             cause: AbandonCause::Failed,
             is_running: true,
         },
@@ -86,7 +93,7 @@
         AbandonCase {
             name: "out of time",
             then: |loader| {
-                loader.handle(Now::at(150), LoadEvent::Refused(key(1)));
+                loader.handle(Now::at(150), WeightLoadEvent::Refused(key(1)));
                 loader.tick(Now { unix_ms: GIVE_UP_AT })
             },
             cause: AbandonCause::Expired,
@@ -94,20 +101,20 @@
         },
         AbandonCase {
             name: "withdrawn",
-            then: Loader::withdraw,
+            then: WeightLoader::withdraw,
             cause: AbandonCause::Withdrawn,
             is_running: true,
         },
     ];
     for case in cases {
         let mut loader = started(&[load(0), load(1), load(2)]);
-        loader.handle(Now::at(1), LoadEvent::Loaded(key(0)));
+        loader.handle(Now::at(1), WeightLoadEvent::Loaded(key(0)));
         loader.tick(Now::at(TURN_MS));
-        let mut expected = vec![LoadAction::Discard(key(0))];
-        expected.extend(case.is_running.then_some(LoadAction::Cancel(key(1))));
-        expected.push(LoadAction::Abandon { map_version: VERSION, cause: case.cause });
+        let mut expected = vec![WeightLoadAction::Discard(key(0))];
+        expected.extend(case.is_running.then_some(WeightLoadAction::Cancel(key(1))));
+        expected.push(WeightLoadAction::Abandon { map_version: VERSION, cause: case.cause });
         expect_that!((case.then)(&mut loader), eq(&expected), "{}", case.name);
-        expect_that!(loader.state(), eq(LoaderState::Idle), "{}", case.name);
+        expect_that!(loader.state(), eq(WeightLoaderState::Idle), "{}", case.name);
         expect_that!(loader.next_at(), eq(UnixMs::NEVER), "{}", case.name);
     }
 }
@@ -120,14 +127,14 @@
 fn weights_of_an_abandoned_change_are_freed() {
     let mut loader = started(&[load(0)]);
     loader.withdraw();
-    let stray = loader.handle(Now::at(5), LoadEvent::Loaded(key(0)));
-    expect_that!(stray, elements_are![eq(&LoadAction::Discard(key(0)))]);
+    let stray = loader.handle(Now::at(5), WeightLoadEvent::Loaded(key(0)));
+    expect_that!(stray, elements_are![eq(&WeightLoadAction::Discard(key(0)))]);
     loader.begin(Now::at(500), VERSION + 1, &[load(0)], GIVE_UP_AT);
-    let stray = loader.handle(Now::at(501), LoadEvent::Loaded(key(0)));
-    expect_that!(stray, elements_are![eq(&LoadAction::Discard(key(0)))]);
-    let loading = LoaderState::Loading { map_version: VERSION + 1, outstanding: 1 };
+    let stray = loader.handle(Now::at(501), WeightLoadEvent::Loaded(key(0)));
+    expect_that!(stray, elements_are![eq(&WeightLoadAction::Discard(key(0)))]);
+    let loading = WeightLoaderState::Loading { map_version: VERSION + 1, outstanding: 1 };
     expect_that!(loader.state(), eq(loading));
-    expect_that!(loader.handle(Now::at(502), LoadEvent::Failed(key(0))), is_empty());
+    expect_that!(loader.handle(Now::at(502), WeightLoadEvent::Failed(key(0))), is_empty());
     expect_that!(loader.state(), eq(loading));
 }
 
@@ -139,20 +146,20 @@
 }
 
 impl FakeStore {
-    fn answer(&mut self, now: Now, key: LoadKey) -> LoadEvent {
+    fn answer(&mut self, now: Now, key: WeightLoadKey) -> WeightLoadEvent {
         self.granted_at.retain(|granted_at| !granted_at.after(1_000).is_past(now));
         if !self.busy_until.is_past(now) || self.granted_at.len() >= self.loads_per_s {
-            return LoadEvent::Refused(key);
+            return WeightLoadEvent::Refused(key);
         }
         self.granted_at.push(now.unix_ms);
-        LoadEvent::Loaded(key)
+        WeightLoadEvent::Loaded(key)
     }
 }
 
 /// Runs a loader against the store for one moment.
-fn advance(loader: &mut Loader, store: &mut FakeStore, now: Now) {
+fn advance(loader: &mut WeightLoader, store: &mut FakeStore, now: Now) {
     for action in loader.tick(now) {
-        if let LoadAction::Start(key) = action {
+        if let WeightLoadAction::Start(key) = action {
             loader.handle(now, store.answer(now, key));
         }
     }
@@ -167,21 +174,22 @@
     const BUSY_UNTIL: UnixMs = UnixMs(200_000);
     const END_MS: u64 = BUSY_UNTIL.0 + 5_000;
     const STEP_MS: usize = 10;
-    let loads: Vec<ExpertLoad> = (0..5).map(load).collect();
+    let loads: Vec<WeightLoad> = (0..5).map(load).collect();
     for seed in 0..5 {
         let mut store =
             FakeStore { busy_until: BUSY_UNTIL, loads_per_s: 50, granted_at: Vec::new() };
         let agents = (0..u64::from(SETTINGS.agents)).map(|agent| seed * 100 + agent);
-        let mut loaders: Vec<Loader> = agents.map(|agent| Loader::new(SETTINGS, agent)).collect();
+        let mut loaders: Vec<WeightLoader> =
+            agents.map(|agent| WeightLoader::new(SETTINGS, agent)).collect();
         for loader in &mut loaders {
             loader.begin(Now::at(0), VERSION, &loads, GIVE_UP_AT);
-            loader.handle(Now::at(0), LoadEvent::Refused(key(0)));
+            loader.handle(Now::at(0), WeightLoadEvent::Refused(key(0)));
         }
         for now in (0..END_MS).step_by(STEP_MS).map(Now::at) {
             loaders.iter_mut().for_each(|loader| advance(loader, &mut store, now));
         }
-        let states: Vec<LoaderState> = loaders.iter().map(Loader::state).collect();
-        expect_that!(states, each(eq(&LoaderState::Ready { map_version: VERSION })));
+        let states: Vec<WeightLoaderState> = loaders.iter().map(WeightLoader::state).collect();
+        expect_that!(states, each(eq(&WeightLoaderState::Ready { map_version: VERSION })));
     }
 }
 
@@ -191,11 +199,11 @@
 #[gtest]
 fn waits_repeat_with_the_seed() {
     let waits = |seed: u64| {
-        let mut loader = Loader::new(SETTINGS, seed);
+        let mut loader = WeightLoader::new(SETTINGS, seed);
         let mut now = Now::at(0);
         loader.begin(now, VERSION, &[load(0)], UnixMs::NEVER);
         let mut refuse = || {
-            loader.handle(now, LoadEvent::Refused(key(0)));
+            loader.handle(now, WeightLoadEvent::Refused(key(0)));
             let wait_ms = loader.next_at().since(now.unix_ms);
             now = Now { unix_ms: loader.next_at() };
             loader.tick(now);
