--- a/crates/agent/src/group/balance.rs
+++ b/crates/agent/src/group/balance.rs
@@ -5,8 +5,8 @@
 use hickorycross_config::{Balance, ModelGroup};
 use hickorycross_core::group::{self, GroupMember};
 use hickorycross_core::placement::{
-    Change, ChangeOutcome, ExpertMap, GroupShape, LoadCollector, RankLoad, RebalancePolicy,
-    Weighted, WeightedSettings,
+    ChangeOutcome, ExpertMap, GroupShape, LoadCollector, ProposedChange, RankLoad, RebalancePolicy,
+    WeightedPolicy, WeightedPolicySettings,
 };
 use hickorycross_core::{Now, UnixMs};
 use tokio::sync::mpsc::UnboundedSender;
@@ -19,7 +19,7 @@
 /// A decision, with the policy that made it.
 pub(crate) struct Decision {
     policy: Box<dyn RebalancePolicy>,
-    change: Option<Change>,
+    change: Option<ProposedChange>,
     present: group::ExpertMap,
 }
 
@@ -33,7 +33,7 @@
     policy: Option<Box<dyn RebalancePolicy>>,
     collector: LoadCollector,
     decide_at: UnixMs,
-    proposed: Option<Change>,
+    proposed: Option<ProposedChange>,
     events: UnboundedSender<EngineEvent>,
 }
 
@@ -48,13 +48,13 @@
         let shape = GroupShape::of(group).ok()?;
         // Loads go no faster than one agent's share: that is what a change costs here.
         let weight_store_bytes_per_s = pace.share_bytes_per_s();
-        let settings = WeightedSettings {
+        let settings = WeightedPolicySettings {
             balance: Balance { weight_store_bytes_per_s, ..balance },
             max_loads_per_layer: MAX_LOADS_PER_LAYER,
             server_cap: Some(pace.server_cap()),
         };
         Some(Self {
-            policy: Some(Box::new(Weighted::new(shape, &settings))),
+            policy: Some(Box::new(WeightedPolicy::new(shape, &settings))),
             collector: LoadCollector::new(shape.ranks),
             decide_at: UnixMs::default(),
             proposed: None,
@@ -64,7 +64,7 @@
 
     /// Takes the load of one member's ranks.
     pub(crate) fn take(&mut self, now: Now, load: RankLoad) {
-        let Some(report) = self.collector.take(now, load) else { return };
+        let Some(report) = self.collector.add(now, load) else { return };
         let Some(policy) = &mut self.policy else { return };
         if let Err(fault) = policy.observe(&report) {
             log::debug!(target: "group", fault = fault.to_string().as_str(); "load not used");
@@ -81,7 +81,7 @@
         let Some(mut policy) = self.policy.take() else { return };
         let events = self.events.clone();
         tokio::task::spawn_blocking(move || {
-            let change = policy.decide(now, &ExpertMap { layers: present.layers.clone() });
+            let change = policy.propose(now, &ExpertMap { layers: present.layers.clone() });
             let decision = Decision { policy, change, present };
             let _ = events.send(EngineEvent::Decided(Box::new(decision)));
         });
@@ -102,10 +102,10 @@
     }
 
     /// Learns how the proposal ended; gives it back for the record.
-    pub(crate) fn settle(&mut self, now: Now, outcome: ChangeOutcome) -> Option<Change> {
+    pub(crate) fn settle(&mut self, now: Now, outcome: ChangeOutcome) -> Option<ProposedChange> {
         let change = self.proposed.take()?;
         if let Some(policy) = &mut self.policy {
-            policy.settle(now, outcome);
+            policy.record_outcome(now, outcome);
         }
         Some(change)
     }
--- a/crates/core/src/placement/change.rs
+++ b/crates/core/src/placement/change.rs
@@ -2,7 +2,7 @@
 
 use crate::placement::estimate::LoadEstimator;
 use crate::placement::layer::ExpertMap;
-use crate::placement::policy::{Change, Prediction};
+use crate::placement::policy::{Prediction, ProposedChange};
 use crate::placement::skew::layer_skew;
 
 /// Describes the change from `present` to `target`; none when they are equal.
@@ -10,7 +10,7 @@
     estimator: &LoadEstimator,
     present: &ExpertMap,
     target: ExpertMap,
-) -> Option<Change> {
+) -> Option<ProposedChange> {
     if *present == target {
         return None;
     }
@@ -21,7 +21,7 @@
         skew_after: map_skew(estimator, &target),
         moved_bytes,
     };
-    Some(Change { target, loads, prediction })
+    Some(ProposedChange { target, loads, prediction })
 }
 
 fn map_skew(estimator: &LoadEstimator, map: &ExpertMap) -> f64 {
--- a/crates/core/src/placement/collect.rs
+++ b/crates/core/src/placement/collect.rs
@@ -100,7 +100,7 @@
     }
 
     /// Takes one engine's load; gives the group's once the last engine of the window has reported.
-    pub fn take(&mut self, now: Now, load: RankLoad) -> Option<LoadReport> {
+    pub fn add(&mut self, now: Now, load: RankLoad) -> Option<LoadReport> {
         let window = Window { first_step: load.first_step, last_step: load.last_step };
         let open = self
             .open
--- a/crates/core/src/placement/cost.rs
+++ b/crates/core/src/placement/cost.rs
@@ -4,7 +4,7 @@
 use hickorycross_config::Balance;
 
 /// How far ahead a gain is counted.
-pub const HORIZON_MS: u64 = 600_000;
+pub const GAIN_HORIZON_MS: u64 = 600_000;
 /// Steps that a group loses when it changes its map.
 pub const STALL_STEPS_PER_CHANGE: u32 = 2;
 /// A gain must exceed its cost by this factor.
@@ -35,7 +35,7 @@
 
     /// Weighted worth of lowering one layer's skew by `skew` over the horizon, in steps.
     pub(crate) fn gain_steps(&self, skew: f64, steps_per_s: f64) -> f64 {
-        let horizon_steps = HORIZON_MS as f64 / MS_PER_S * steps_per_s;
+        let horizon_steps = GAIN_HORIZON_MS as f64 / MS_PER_S * steps_per_s;
         self.balance.skew_weight * skew / f64::from(self.layers) * horizon_steps
     }
 
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,7 +1,7 @@
 //! When to rebalance experts, and which to move.
 //!
 //! Step reports arrive late and feed a [`LoadEstimator`]. A [`RebalancePolicy`] compares the
-//! present [`ExpertMap`] with maps that a few loads would give and proposes a [`Change`] when that
+//! present [`ExpertMap`] with maps that a few loads would give and proposes a [`ProposedChange`] when that
 //! pays. The [`WeightLoader`] of each agent turns the change into paced background loads. Whether and
 //! when the ranks adopt the new map is the business of the group agreement, not of this module.
 
@@ -16,7 +16,7 @@
 mod map_change;
 mod noise;
 mod pack;
-mod periodic;
+mod periodic_policy;
 mod policy;
 mod realised;
 mod report;
@@ -24,27 +24,27 @@
 mod server_loads;
 mod shape;
 mod skew;
-mod static_map;
-mod threshold;
+mod static_policy;
+mod threshold_policy;
 mod weight_loader;
-mod weighted;
+mod weighted_policy;
 
 pub use collect::{LoadCollector, RankLoad, SPAN_STEPS, SpanBuilder};
-pub use cost::{CostModel, HORIZON_MS, STALL_STEPS_PER_CHANGE};
+pub use cost::{CostModel, GAIN_HORIZON_MS, STALL_STEPS_PER_CHANGE};
 pub use estimate::LoadEstimator;
 pub use layer::{ExpertMap, LayerPlacement, MapFault, WeightLoad};
 pub use level::{LevelSettings, bottleneck_load, level_map};
 pub use map_change::MapChange;
 pub use pack::{pack_layer, pack_map, refine_layer};
-pub use periodic::PeriodicFull;
-pub use policy::{Change, ChangeOutcome, Prediction, RebalancePolicy};
+pub use periodic_policy::PeriodicPolicy;
+pub use policy::{ChangeOutcome, Prediction, ProposedChange, RebalancePolicy};
 pub use report::{LoadReport, ReportFault};
 pub use shape::{GroupShape, ShapeFault};
 pub use skew::layer_skew;
-pub use static_map::StaticMap;
-pub use threshold::PlainThreshold;
+pub use static_policy::StaticPolicy;
+pub use threshold_policy::ThresholdPolicy;
 pub use weight_loader::{
     AbandonCause, WeightLoadAction, WeightLoadEvent, WeightLoadKey, WeightLoader,
     WeightLoaderSettings, WeightLoaderState,
 };
-pub use weighted::{ServerLoadCap, Weighted, WeightedSettings};
+pub use weighted_policy::{ServerLoadCap, WeightedPolicy, WeightedPolicySettings};
--- a/crates/core/src/placement/periodic.rs
+++ b/crates/core/src/placement/periodic_policy.rs
@@ -4,7 +4,7 @@
 use crate::placement::estimate::LoadEstimator;
 use crate::placement::layer::ExpertMap;
 use crate::placement::pack::{pack_map, refine_layer};
-use crate::placement::policy::{Change, ChangeOutcome, RebalancePolicy};
+use crate::placement::policy::{ChangeOutcome, ProposedChange, RebalancePolicy};
 use crate::placement::report::{LoadReport, ReportFault};
 use crate::placement::shape::GroupShape;
 use crate::time::{Now, UnixMs};
@@ -14,13 +14,13 @@
 
 /// Packs all layers anew, whatever it costs.
 #[derive(Clone, Debug)]
-pub struct PeriodicFull {
+pub struct PeriodicPolicy {
     estimator: LoadEstimator,
     period_ms: u64,
     due_at: UnixMs,
 }
 
-impl PeriodicFull {
+impl PeriodicPolicy {
     /// Repacks every `period_ms`, first at `first_at`.
     #[must_use]
     pub fn new(shape: GroupShape, period_ms: u64, first_at: UnixMs) -> Self {
@@ -28,7 +28,7 @@
     }
 }
 
-impl RebalancePolicy for PeriodicFull {
+impl RebalancePolicy for PeriodicPolicy {
     fn name(&self) -> &'static str {
         "periodic"
     }
@@ -37,7 +37,7 @@
         self.estimator.observe(report)
     }
 
-    fn decide(&mut self, now: Now, present: &ExpertMap) -> Option<Change> {
+    fn propose(&mut self, now: Now, present: &ExpertMap) -> Option<ProposedChange> {
         if !self.due_at.is_past(now) || !self.estimator.is_ready(now) {
             return None;
         }
@@ -52,5 +52,5 @@
         change_between(&self.estimator, present, target)
     }
 
-    fn settle(&mut self, _now: Now, _outcome: ChangeOutcome) {}
+    fn record_outcome(&mut self, _now: Now, _outcome: ChangeOutcome) {}
 }
--- a/crates/core/src/placement/policy.rs
+++ b/crates/core/src/placement/policy.rs
@@ -18,15 +18,15 @@
 
     /// Proposes a change of the present map, or none. It is not called again before the proposal
     /// is settled.
-    fn decide(&mut self, now: Now, present: &ExpertMap) -> Option<Change>;
+    fn propose(&mut self, now: Now, present: &ExpertMap) -> Option<ProposedChange>;
 
     /// Learns how the last proposal ended.
-    fn settle(&mut self, now: Now, outcome: ChangeOutcome);
+    fn record_outcome(&mut self, now: Now, outcome: ChangeOutcome);
 }
 
 /// A proposed change of map.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct ProposedChange {
     /// The map to be adopted.
     pub target: ExpertMap,
     /// What ranks load before the map can be adopted.
--- a/crates/core/src/placement/server_loads.rs
+++ b/crates/core/src/placement/server_loads.rs
@@ -1,7 +1,7 @@
 //! Counts what each server would load in a change.
 
 use crate::placement::search::Trial;
-use crate::placement::weighted::ServerLoadCap;
+use crate::placement::weighted_policy::ServerLoadCap;
 use indexmap::IndexMap;
 
 /// Loads of one change by server.
--- a/crates/core/src/placement/static_map.rs
+++ b/crates/core/src/placement/static_policy.rs
@@ -1,15 +1,15 @@
 //! Baseline: the map never changes.
 
 use crate::placement::layer::ExpertMap;
-use crate::placement::policy::{Change, ChangeOutcome, RebalancePolicy};
+use crate::placement::policy::{ChangeOutcome, ProposedChange, RebalancePolicy};
 use crate::placement::report::{LoadReport, ReportFault};
 use crate::time::Now;
 
 /// Keeps the map that the group started with.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StaticMap;
+pub struct StaticPolicy;
 
-impl RebalancePolicy for StaticMap {
+impl RebalancePolicy for StaticPolicy {
     fn name(&self) -> &'static str {
         "static"
     }
@@ -18,9 +18,9 @@
         Ok(())
     }
 
-    fn decide(&mut self, _now: Now, _present: &ExpertMap) -> Option<Change> {
+    fn propose(&mut self, _now: Now, _present: &ExpertMap) -> Option<ProposedChange> {
         None
     }
 
-    fn settle(&mut self, _now: Now, _outcome: ChangeOutcome) {}
+    fn record_outcome(&mut self, _now: Now, _outcome: ChangeOutcome) {}
 }
--- a/crates/core/src/placement/threshold.rs
+++ b/crates/core/src/placement/threshold_policy.rs
@@ -4,7 +4,7 @@
 use crate::placement::estimate::LoadEstimator;
 use crate::placement::layer::ExpertMap;
 use crate::placement::pack::refine_layer;
-use crate::placement::policy::{Change, ChangeOutcome, RebalancePolicy};
+use crate::placement::policy::{ChangeOutcome, ProposedChange, RebalancePolicy};
 use crate::placement::report::{LoadReport, ReportFault};
 use crate::placement::shape::GroupShape;
 use crate::placement::skew::layer_skew;
@@ -15,14 +15,14 @@
 
 /// Evens out each layer whose predicted skew is above a threshold, with a fixed cool-down.
 #[derive(Clone, Debug)]
-pub struct PlainThreshold {
+pub struct ThresholdPolicy {
     estimator: LoadEstimator,
     threshold: f64,
     cool_down_ms: u64,
     closed_until: UnixMs,
 }
 
-impl PlainThreshold {
+impl ThresholdPolicy {
     /// Acts above a skew of `threshold` (slowest less fastest rank as a share of the mean) and
     /// waits `cool_down_ms` after each change.
     #[must_use]
@@ -32,7 +32,7 @@
     }
 }
 
-impl RebalancePolicy for PlainThreshold {
+impl RebalancePolicy for ThresholdPolicy {
     fn name(&self) -> &'static str {
         "threshold"
     }
@@ -41,7 +41,7 @@
         self.estimator.observe(report)
     }
 
-    fn decide(&mut self, now: Now, present: &ExpertMap) -> Option<Change> {
+    fn propose(&mut self, now: Now, present: &ExpertMap) -> Option<ProposedChange> {
         if !self.closed_until.is_past(now) || !self.estimator.is_ready(now) {
             return None;
         }
@@ -55,7 +55,7 @@
         change_between(&self.estimator, present, target)
     }
 
-    fn settle(&mut self, now: Now, _outcome: ChangeOutcome) {
+    fn record_outcome(&mut self, now: Now, _outcome: ChangeOutcome) {
         self.closed_until = now.after(self.cool_down_ms);
     }
 }
--- a/crates/core/src/placement/weighted.rs
+++ b/crates/core/src/placement/weighted_policy.rs
@@ -5,7 +5,7 @@
 use crate::placement::cost::CostModel;
 use crate::placement::estimate::LoadEstimator;
 use crate::placement::layer::ExpertMap;
-use crate::placement::policy::{Change, ChangeOutcome, RebalancePolicy};
+use crate::placement::policy::{ChangeOutcome, ProposedChange, RebalancePolicy};
 use crate::placement::realised::Realised;
 use crate::placement::report::{LoadReport, ReportFault};
 use crate::placement::search::{LayerSearch, Trial};
@@ -20,9 +20,9 @@
 /// Demand that was steady for this long may change suddenly without being taken for unsteady.
 const STEADY_MS: u64 = 60_000;
 
-/// Settings of [`Weighted`].
+/// Settings of [`WeightedPolicy`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WeightedSettings {
+pub struct WeightedPolicySettings {
     /// The document's weights and the weight store's rate.
     pub balance: Balance,
     /// Experts loaded in one change at most, on average for each layer.
@@ -43,7 +43,7 @@
     pub max_loads: u32,
 }
 
-impl WeightedSettings {
+impl WeightedPolicySettings {
     /// Loads of one change for each layer, unless set otherwise.
     pub const MAX_LOADS_PER_LAYER: u32 = 8;
 
@@ -56,7 +56,7 @@
 
 /// Weighs predicted skew over a horizon against bytes and stalls.
 #[derive(Clone, Debug)]
-pub struct Weighted {
+pub struct WeightedPolicy {
     estimator: LoadEstimator,
     cost: CostModel,
     max_loads: u32,
@@ -65,10 +65,10 @@
     judged: Option<Realised>,
 }
 
-impl Weighted {
+impl WeightedPolicy {
     /// A policy for a group of this shape.
     #[must_use]
-    pub fn new(shape: GroupShape, settings: &WeightedSettings) -> Self {
+    pub fn new(shape: GroupShape, settings: &WeightedPolicySettings) -> Self {
         Self {
             estimator: LoadEstimator::new(shape),
             cost: CostModel::new(settings.balance, &shape),
@@ -128,7 +128,7 @@
     }
 }
 
-impl RebalancePolicy for Weighted {
+impl RebalancePolicy for WeightedPolicy {
     fn name(&self) -> &'static str {
         "weighted"
     }
@@ -146,7 +146,7 @@
         Ok(())
     }
 
-    fn decide(&mut self, now: Now, present: &ExpertMap) -> Option<Change> {
+    fn propose(&mut self, now: Now, present: &ExpertMap) -> Option<ProposedChange> {
         self.judge_last(now, present);
         // A proposal before the last change is judged would take the place of the judgement: the
         // cool-down could never lengthen, and a group whose predictions fail would change its map
@@ -161,7 +161,7 @@
         Some(change)
     }
 
-    fn settle(&mut self, now: Now, outcome: ChangeOutcome) {
+    fn record_outcome(&mut self, now: Now, outcome: ChangeOutcome) {
         match outcome {
             ChangeOutcome::Adopted { first_step } => {
                 self.cool_down.start(now);
--- a/crates/core/tests/placement_map.rs
+++ b/crates/core/tests/placement_map.rs
@@ -4,9 +4,9 @@
 use hickorycross_config::Balance;
 use hickorycross_core::Now;
 use hickorycross_core::placement::{
-    Change, ChangeOutcome, ExpertMap, GroupShape, LayerPlacement, LoadReport, MapFault,
-    PeriodicFull, PlainThreshold, RebalancePolicy, ServerLoadCap, ShapeFault, Weighted,
-    WeightedSettings, pack_layer, refine_layer,
+    ChangeOutcome, ExpertMap, GroupShape, LayerPlacement, LoadReport, MapFault, PeriodicPolicy,
+    ProposedChange, RebalancePolicy, ServerLoadCap, ShapeFault, ThresholdPolicy, WeightedPolicy,
+    WeightedPolicySettings, pack_layer, refine_layer,
 };
 use proptest::prelude::{Strategy, any, proptest};
 use proptest::test_runner::Config;
@@ -128,11 +128,14 @@
     let mut most = Vec::new();
     for CapCase { name, max_loads, proposes } in cases {
         let cap = ServerLoadCap { ranks_per_server: 2, max_loads };
-        let settings = WeightedSettings { server_cap: Some(cap), ..WeightedSettings::new(BALANCE) };
-        let mut policy = Weighted::new(shape, &settings);
+        let settings = WeightedPolicySettings {
+            server_cap: Some(cap),
+            ..WeightedPolicySettings::new(BALANCE)
+        };
+        let mut policy = WeightedPolicy::new(shape, &settings);
         let change = (0..60).find_map(|index| {
             policy.observe(&report(index, &demand, shape.layers)).expect("well-formed");
-            policy.decide(Now::at(index * 1000), &map)
+            policy.propose(Now::at(index * 1000), &map)
         });
         expect_that!(change.is_some(), eq(proposes), "{name}");
         let loads = change.map_or_else(Vec::new, |change| change.loads);
@@ -146,13 +149,13 @@
 
 fn policies(shape: GroupShape) -> Vec<Box<dyn RebalancePolicy>> {
     vec![
-        Box::new(PeriodicFull::new(shape, 1000, Now::at(0).unix_ms)),
-        Box::new(PlainThreshold::new(shape, 0.05, 1000)),
-        Box::new(Weighted::new(shape, &WeightedSettings::new(BALANCE))),
+        Box::new(PeriodicPolicy::new(shape, 1000, Now::at(0).unix_ms)),
+        Box::new(ThresholdPolicy::new(shape, 0.05, 1000)),
+        Box::new(WeightedPolicy::new(shape, &WeightedPolicySettings::new(BALANCE))),
     ]
 }
 
-fn check_change(shape: &GroupShape, present: &ExpertMap, change: &Change) {
+fn check_change(shape: &GroupShape, present: &ExpertMap, change: &ProposedChange) {
     assert_eq!(change.target.validate(shape), Ok(()));
     assert_eq!(change.loads, present.weight_loads_for(&change.target));
     assert_eq!(change.prediction.moved_bytes, change.loads.len() as u64 * shape.expert_bytes);
@@ -192,17 +195,17 @@
                 let demand = &demands[index as usize * demands.len() / 60][..experts];
                 policy.observe(&report(index, demand, shape.layers)).expect("well-formed");
                 let now = Now::at(index * 1000);
-                let Some(change) = policy.decide(now, &map) else { continue };
+                let Some(change) = policy.propose(now, &map) else { continue };
                 check_change(&shape, &map, &change);
                 if policy.name() == "weighted" {
-                    let limit = WeightedSettings::MAX_LOADS_PER_LAYER * u32::from(shape.layers);
+                    let limit = WeightedPolicySettings::MAX_LOADS_PER_LAYER * u32::from(shape.layers);
                     assert!(change.loads.len() <= limit as usize);
                 }
                 if adopts {
                     map = change.target;
-                    policy.settle(now, ChangeOutcome::Adopted { first_step: index * STEPS + 100 });
+                    policy.record_outcome(now, ChangeOutcome::Adopted { first_step: index * STEPS + 100 });
                 } else {
-                    policy.settle(now, ChangeOutcome::Abandoned);
+                    policy.record_outcome(now, ChangeOutcome::Abandoned);
                 }
             }
         }
--- a/crates/core/tests/placement_reports.rs
+++ b/crates/core/tests/placement_reports.rs
@@ -4,8 +4,8 @@
 use hickorycross_config::Balance;
 use hickorycross_core::Now;
 use hickorycross_core::placement::{
-    Change, ChangeOutcome, ExpertMap, GroupShape, LoadEstimator, LoadReport, RebalancePolicy,
-    ReportFault, Weighted, WeightedSettings, pack_layer,
+    ChangeOutcome, ExpertMap, GroupShape, LoadEstimator, LoadReport, ProposedChange,
+    RebalancePolicy, ReportFault, WeightedPolicy, WeightedPolicySettings, pack_layer,
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -24,8 +24,8 @@
 const BALANCE: Balance =
     Balance { skew_weight: 100.0, rebalance_cost_weight: 0.01, weight_store_bytes_per_s: 1 << 34 };
 
-fn policy() -> Weighted {
-    Weighted::new(SHAPE, &WeightedSettings::new(BALANCE))
+fn policy() -> WeightedPolicy {
+    WeightedPolicy::new(SHAPE, &WeightedPolicySettings::new(BALANCE))
 }
 
 fn even_map() -> ExpertMap {
@@ -56,13 +56,13 @@
 
 /// Feeds reports and returns the first proposal.
 fn first_change(
-    policy: &mut Weighted,
+    policy: &mut WeightedPolicy,
     map: &ExpertMap,
     reports: impl Iterator<Item = (u64, LoadReport)>,
-) -> Option<Change> {
+) -> Option<ProposedChange> {
     let mut decide = |(index, report): (u64, LoadReport)| {
         policy.observe(&report).expect("well-formed");
-        policy.decide(arrival(index), map)
+        policy.propose(arrival(index), map)
     };
     reports.into_iter().find_map(&mut decide)
 }
@@ -140,7 +140,7 @@
             rebalance_cost_weight: case.rebalance_cost_weight,
             weight_store_bytes_per_s: 1 << 24,
         };
-        let mut policy = Weighted::new(SHAPE, &WeightedSettings::new(balance));
+        let mut policy = WeightedPolicy::new(SHAPE, &WeightedPolicySettings::new(balance));
         let reports = (0..60).map(|index| (index, hot(index, 5)));
         let change = first_change(&mut policy, &even_map(), reports);
         let (skew, cost) = (case.skew_weight, case.rebalance_cost_weight);
@@ -211,8 +211,8 @@
         policy.observe(&hot(index, 5)).expect("well-formed");
     }
     let last = arrival(29).unix_ms;
-    expect_that!(policy.decide(Now { unix_ms: last.after(60_000) }, &map), none());
-    expect_that!(policy.decide(Now { unix_ms: last }, &map), some(anything()));
+    expect_that!(policy.propose(Now { unix_ms: last.after(60_000) }, &map), none());
+    expect_that!(policy.propose(Now { unix_ms: last }, &map), some(anything()));
 }
 
 // Symptom: a group keeps an uneven map although demand has been steady for long.
@@ -251,9 +251,9 @@
     let mut proposed_at = Vec::new();
     for index in 0..600 {
         policy.observe(&hot(index, 5)).expect("well-formed");
-        if policy.decide(arrival(index), &map).is_some() {
+        if policy.propose(arrival(index), &map).is_some() {
             proposed_at.push(index);
-            policy.settle(arrival(index), ChangeOutcome::Abandoned);
+            policy.record_outcome(arrival(index), ChangeOutcome::Abandoned);
         }
     }
     let pauses: Vec<u64> = proposed_at.windows(2).map(|pair| pair[1] - pair[0]).collect();
@@ -275,10 +275,10 @@
     for index in 0..3_000 {
         let hot_expert = changed_at.len() * 5 % 32;
         policy.observe(&hot(index, hot_expert)).expect("well-formed");
-        if let Some(change) = policy.decide(arrival(index), &map) {
+        if let Some(change) = policy.propose(arrival(index), &map) {
             map = change.target;
             let first_step = (index + 1) * STEPS;
-            policy.settle(arrival(index), ChangeOutcome::Adopted { first_step });
+            policy.record_outcome(arrival(index), ChangeOutcome::Adopted { first_step });
             changed_at.push(index);
         }
     }
--- a/crates/core/tests/placement_spans.rs
+++ b/crates/core/tests/placement_spans.rs
@@ -33,7 +33,7 @@
         for number in read[engine]..moment {
             let first_rank = u16::try_from(engine).expect("a rank");
             let span = builders[engine].push(window(first_rank, number));
-            reports.extend(span.and_then(|span| collector.take(Now::at(moment), span)));
+            reports.extend(span.and_then(|span| collector.add(Now::at(moment), span)));
         }
         read[engine] = moment;
     }
--- a/crates/lab/examples/decision_time.rs
+++ b/crates/lab/examples/decision_time.rs
@@ -1,7 +1,9 @@
 //! Measures the time that the rebalancing policy takes at full size: 32 ranks, 256 experts and 60
 //! layers, with a report and a decision every second.
 
-use hickorycross_core::placement::{ChangeOutcome, RebalancePolicy, Weighted, WeightedSettings};
+use hickorycross_core::placement::{
+    ChangeOutcome, RebalancePolicy, WeightedPolicy, WeightedPolicySettings,
+};
 use hickorycross_lab::rebalance::{Bound, Experiment, Trace, experiments};
 use std::time::Instant;
 
@@ -56,18 +58,19 @@
 fn measure(experiment: &Experiment) {
     let mut trace = Trace::new(experiment, SEED);
     let mut map = Bound::new(experiment.shape, &trace.expected_loads()).map().clone();
-    let mut policy = Weighted::new(experiment.shape, &WeightedSettings::new(experiment.balance));
+    let mut policy =
+        WeightedPolicy::new(experiment.shape, &WeightedPolicySettings::new(experiment.balance));
     let (mut observe, mut decide) = (Times::default(), Times::default());
     let mut changes = 0;
     while let Some(window) = trace.next_window() {
         for tick in &window.ticks {
             observe.measure(|| policy.observe(&tick.report)).expect("well-formed");
-            let change = decide.measure(|| policy.decide(tick.now, &map));
+            let change = decide.measure(|| policy.propose(tick.now, &map));
             let Some(change) = change else { continue };
             changes += 1;
             map = change.target;
             let first_step = tick.report.last_step + 1;
-            policy.settle(tick.now, ChangeOutcome::Adopted { first_step });
+            policy.record_outcome(tick.now, ChangeOutcome::Adopted { first_step });
         }
     }
     println!("{} with {LAYERS} layers, {LENGTH_S} s, {changes} changes", experiment.name);
--- a/crates/lab/src/rebalance/plan.rs
+++ b/crates/lab/src/rebalance/plan.rs
@@ -4,8 +4,8 @@
 use hickorycross_config::Balance;
 use hickorycross_core::UnixMs;
 use hickorycross_core::placement::{
-    GroupShape, PeriodicFull, PlainThreshold, RebalancePolicy, StaticMap, Weighted,
-    WeightedSettings,
+    GroupShape, PeriodicPolicy, RebalancePolicy, StaticPolicy, ThresholdPolicy, WeightedPolicy,
+    WeightedPolicySettings,
 };
 use serde::{Deserialize, Serialize};
 
@@ -20,9 +20,9 @@
 const TOKENS_PER_RANK: f64 = 512.0;
 /// Slots of a rank beyond those that one copy of each expert needs.
 const SPARE_SLOTS: u16 = 2;
-/// Skew above which [`PlainThreshold`] acts.
+/// Skew above which [`ThresholdPolicy`] acts.
 const THRESHOLD: f64 = 0.3;
-/// Cool-down of [`PlainThreshold`].
+/// Cool-down of [`ThresholdPolicy`].
 const THRESHOLD_COOL_DOWN_MS: u64 = 30_000;
 
 /// Milliseconds in a second.
@@ -89,17 +89,17 @@
     pub fn policy(self, experiment: &Experiment) -> Option<Box<dyn RebalancePolicy>> {
         let shape = experiment.shape;
         match self {
-            Self::Static => Some(Box::new(StaticMap)),
+            Self::Static => Some(Box::new(StaticPolicy)),
             Self::Periodic => {
                 let period_ms = experiment.period_s * MS_PER_S;
-                Some(Box::new(PeriodicFull::new(shape, period_ms, UnixMs(period_ms))))
+                Some(Box::new(PeriodicPolicy::new(shape, period_ms, UnixMs(period_ms))))
             }
             Self::Threshold => {
-                Some(Box::new(PlainThreshold::new(shape, THRESHOLD, THRESHOLD_COOL_DOWN_MS)))
+                Some(Box::new(ThresholdPolicy::new(shape, THRESHOLD, THRESHOLD_COOL_DOWN_MS)))
             }
             Self::Weighted => {
-                let settings = WeightedSettings::new(experiment.balance);
-                Some(Box::new(Weighted::new(shape, &settings)))
+                let settings = WeightedPolicySettings::new(experiment.balance);
+                Some(Box::new(WeightedPolicy::new(shape, &settings)))
             }
             Self::Bound => None,
         }
--- a/crates/lab/src/rebalance/policy_run.rs
+++ b/crates/lab/src/rebalance/policy_run.rs
@@ -5,7 +5,7 @@
 use crate::rebalance::summary::{RunFigures, StepFigures};
 use crate::rebalance::trace::Tick;
 use hickorycross_core::placement::{
-    Change, ChangeOutcome, ExpertMap, LoadReport, RebalancePolicy, STALL_STEPS_PER_CHANGE,
+    ChangeOutcome, ExpertMap, LoadReport, ProposedChange, RebalancePolicy, STALL_STEPS_PER_CHANGE,
 };
 use hickorycross_core::{Now, UnixMs};
 
@@ -26,7 +26,7 @@
 
 /// A change whose weights are being loaded.
 struct Loading {
-    change: Change,
+    change: ProposedChange,
     ready_at: UnixMs,
 }
 
@@ -66,7 +66,7 @@
     }
 
     fn propose(&mut self, now: Now, experiment: &Experiment) {
-        let Some(change) = self.policy.decide(now, &self.map) else { return };
+        let Some(change) = self.policy.propose(now, &self.map) else { return };
         change.target.validate(&experiment.shape).expect("a proposed map is well-formed");
         let loading_ms = change.prediction.moved_bytes * MS_PER_S / self.store_bytes_per_s;
         self.loading = Some(Loading { change, ready_at: now.after(loading_ms) });
@@ -81,7 +81,7 @@
         self.changes += 1;
         self.map = loading.change.target;
         let first_step = tick.report.last_step + 1;
-        self.policy.settle(tick.now, ChangeOutcome::Adopted { first_step });
+        self.policy.record_outcome(tick.now, ChangeOutcome::Adopted { first_step });
     }
 
     /// What was measured so far.
