--- a/crates/agent/src/group/balance.rs
+++ b/crates/agent/src/group/balance.rs
@@ -45,7 +45,7 @@
         pace: StorePace,
         events: UnboundedSender<EngineEvent>,
     ) -> Option<Self> {
-        let shape = GroupShape::of(group).ok()?;
+        let shape = GroupShape::from_model_group(group).ok()?;
         // Loads go no faster than one agent's share: that is what a change costs here.
         let weight_store_bytes_per_s = pace.share_bytes_per_s();
         let settings = WeightedPolicySettings {
--- a/crates/core/src/map_change/change.rs
+++ b/crates/core/src/map_change/change.rs
@@ -4,7 +4,7 @@
 use super::order::{OrderEnd, OrderKind};
 use super::phase::{Arming, Holding, Orders, Phase, Preparing};
 use crate::direct::BootMs;
-use crate::placement::{ExpertMap, MapChange};
+use crate::placement::{ExpertMap, MapDelta};
 use std::cmp::Reverse;
 use std::sync::Arc;
 
@@ -72,7 +72,7 @@
         let in_use = self.known_map();
         match told.filter(|(told, _)| Some(*told) == in_use) {
             Some((base, before)) => {
-                let change = Arc::new(MapChange::between(&before, &map));
+                let change = Arc::new(MapDelta::between(&before, &map));
                 OrderKind::PrepareChange { version, base, change }
             }
             None => OrderKind::Prepare { version, map },
--- a/crates/core/src/map_change/order.rs
+++ b/crates/core/src/map_change/order.rs
@@ -1,6 +1,6 @@
 //! Orders to ranks.
 
-use crate::placement::{ExpertMap, MapChange};
+use crate::placement::{ExpertMap, MapDelta};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -32,7 +32,7 @@
         /// The map that is changed.
         base: u64,
         /// What the map changes in it.
-        change: Arc<MapChange>,
+        change: Arc<MapDelta>,
     },
     /// Prepare what the rank holds already, so that no earlier map is prepared any more.
     Void {
--- a/crates/core/src/placement/change.rs
+++ b/crates/core/src/placement/change.rs
@@ -1,7 +1,7 @@
 //! Describing a change of map: what is loaded and what is expected of it.
 
 use crate::placement::estimate::LoadEstimator;
-use crate::placement::layer::ExpertMap;
+use crate::placement::expert_map::ExpertMap;
 use crate::placement::policy::{Prediction, ProposedChange};
 use crate::placement::skew::layer_skew;
 
--- a/crates/core/src/placement/estimate.rs
+++ b/crates/core/src/placement/estimate.rs
@@ -4,9 +4,9 @@
 //! When the two differ by more than noise explains, demand has changed and the window restarts
 //! with the newest report. Slow drift is followed by the window itself.
 
-use crate::placement::layer::LayerPlacement;
+use crate::placement::expert_map::LayerPlacement;
 use crate::placement::noise::LayerNoise;
-use crate::placement::report::{LoadReport, ReportFault};
+use crate::placement::report::{LoadReport, ReportError};
 use crate::placement::shape::GroupShape;
 use crate::time::{Now, UnixMs};
 
@@ -65,14 +65,14 @@
     ///
     /// # Errors
     ///
-    /// [`ReportFault`] when it is malformed, a repetition or older than one used before; the
+    /// [`ReportError`] when it is malformed, a repetition or older than one used before; the
     /// estimates are then unchanged.
-    pub fn observe(&mut self, report: &LoadReport) -> Result<(), ReportFault> {
+    pub fn observe(&mut self, report: &LoadReport) -> Result<(), ReportError> {
         report.check(&self.shape)?;
         // A repeated or overtaken report would count its steps twice and make the estimates look
         // surer than they are; the step numbers expose it.
         if let Some(covered) = self.covered_step.filter(|covered| report.first_step <= *covered) {
-            return Err(ReportFault::Covered { last_step: report.last_step, covered });
+            return Err(ReportError::Covered { last_step: report.last_step, covered });
         }
         self.observe_rate(report);
         for (layer, loads) in self.layers.iter_mut().zip(&report.layer_loads_tokens) {
--- a/crates/core/src/placement/layer.rs
+++ b/crates/core/src/placement/expert_map.rs
@@ -24,7 +24,12 @@
     /// A map of `ranks` ranks in which the rank `own` has the experts in `held`, layer by layer, and the
     /// others share all further ones evenly.
     #[must_use]
-    pub fn around(own: u16, ranks: u16, held: &[Vec<u16>], experts_per_layer: u16) -> Self {
+    pub fn from_known_rank(
+        own: u16,
+        ranks: u16,
+        held: &[Vec<u16>],
+        experts_per_layer: u16,
+    ) -> Self {
         let others: Vec<usize> = (0..ranks).filter(|it| *it != own).map(usize::from).collect();
         let layer = |held: &Vec<u16>| {
             let mut experts_of_rank = vec![Vec::new(); usize::from(ranks)];
@@ -52,7 +57,7 @@
 
 /// Why a map does not fit its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum MapFault {
+pub enum MapError {
     /// The map has another number of layers than the group.
     #[error("{found} layers in place of {expected}")]
     Layers {
@@ -131,10 +136,10 @@
         self.experts_of_rank[usize::from(rank)].contains(&expert)
     }
 
-    fn check(&self, layer: usize, shape: &GroupShape) -> Result<(), MapFault> {
+    fn check(&self, layer: usize, shape: &GroupShape) -> Result<(), MapError> {
         if self.experts_of_rank.len() != usize::from(shape.ranks) {
             let found = self.experts_of_rank.len();
-            return Err(MapFault::Ranks { layer, found, expected: shape.ranks });
+            return Err(MapError::Ranks { layer, found, expected: shape.ranks });
         }
         let mut held = vec![false; usize::from(shape.experts_per_layer)];
         for (rank, experts) in self.experts_of_rank.iter().enumerate() {
@@ -144,7 +149,7 @@
             }
         }
         match held.iter().position(|held| !held) {
-            Some(expert) => Err(MapFault::Missing { layer, expert }),
+            Some(expert) => Err(MapError::Missing { layer, expert }),
             None => Ok(()),
         }
     }
@@ -155,15 +160,15 @@
     rank: usize,
     experts: &[u16],
     shape: &GroupShape,
-) -> Result<(), MapFault> {
+) -> Result<(), MapError> {
     let slots = shape.expert_slots_per_rank;
     if experts.len() > usize::from(slots) {
-        return Err(MapFault::Slots { layer, rank, found: experts.len(), slots });
+        return Err(MapError::Slots { layer, rank, found: experts.len(), slots });
     }
     for (index, expert) in experts.iter().enumerate() {
         let unknown = *expert >= shape.experts_per_layer;
         if unknown || experts[..index].contains(expert) {
-            return Err(MapFault::Expert { layer, rank, expert: *expert });
+            return Err(MapError::Expert { layer, rank, expert: *expert });
         }
     }
     Ok(())
@@ -180,10 +185,10 @@
     ///
     /// # Errors
     ///
-    /// The first [`MapFault`] found.
-    pub fn validate(&self, shape: &GroupShape) -> Result<(), MapFault> {
+    /// The first [`MapError`] found.
+    pub fn validate(&self, shape: &GroupShape) -> Result<(), MapError> {
         if self.layers.len() != usize::from(shape.layers) {
-            return Err(MapFault::Layers { found: self.layers.len(), expected: shape.layers });
+            return Err(MapError::Layers { found: self.layers.len(), expected: shape.layers });
         }
         self.layers.iter().enumerate().try_for_each(|(layer, placed)| placed.check(layer, shape))
     }
--- a/crates/core/src/placement/level.rs
+++ b/crates/core/src/placement/level.rs
@@ -4,7 +4,7 @@
 //! most loaded rank of the worst layer: by a further replica elsewhere, by a move, by an exchange,
 //! or by dropping a replica that others can replace.
 
-use crate::placement::layer::{ExpertMap, LayerPlacement};
+use crate::placement::expert_map::{ExpertMap, LayerPlacement};
 
 /// Bounds of one change.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/core/src/placement/map_change.rs
+++ b/crates/core/src/placement/map_delta.rs
@@ -1,6 +1,6 @@
 //! What one expert map changes in another.
 
-use crate::placement::layer::{ExpertMap, LayerPlacement};
+use crate::placement::expert_map::{ExpertMap, LayerPlacement};
 use serde::{Deserialize, Serialize};
 
 /// Experts of the ranks that hold others by a new map than before, layer by layer.
@@ -8,7 +8,7 @@
 /// A change moves some hundred of the thousands of experts that a map of a large group names, so this is
 /// less than half as long as the map.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MapChange {
+pub struct MapDelta {
     layers: Vec<Vec<ChangedRank>>,
 }
 
@@ -20,7 +20,7 @@
     experts: Vec<u16>,
 }
 
-impl MapChange {
+impl MapDelta {
     /// What makes `base` into `target`.
     #[must_use]
     pub fn between(base: &ExpertMap, target: &ExpertMap) -> Self {
--- a/crates/core/src/placement/pack.rs
+++ b/crates/core/src/placement/pack.rs
@@ -3,7 +3,7 @@
 //! Spare slots go, one at a time, to the expert with the highest load per replica; then replicas
 //! are placed by falling load on the rank with the least load so far.
 
-use crate::placement::layer::{ExpertMap, LayerPlacement};
+use crate::placement::expert_map::{ExpertMap, LayerPlacement};
 use crate::placement::search::LayerSearch;
 use crate::placement::shape::GroupShape;
 
--- a/crates/core/src/placement/periodic_policy.rs
+++ b/crates/core/src/placement/periodic_policy.rs
@@ -2,10 +2,10 @@
 
 use crate::placement::change::change_between;
 use crate::placement::estimate::LoadEstimator;
-use crate::placement::layer::ExpertMap;
+use crate::placement::expert_map::ExpertMap;
 use crate::placement::pack::{pack_map, refine_layer};
 use crate::placement::policy::{ChangeOutcome, ProposedChange, RebalancePolicy};
-use crate::placement::report::{LoadReport, ReportFault};
+use crate::placement::report::{LoadReport, ReportError};
 use crate::placement::shape::GroupShape;
 use crate::time::{Now, UnixMs};
 
@@ -33,7 +33,7 @@
         "periodic"
     }
 
-    fn observe(&mut self, report: &LoadReport) -> Result<(), ReportFault> {
+    fn observe(&mut self, report: &LoadReport) -> Result<(), ReportError> {
         self.estimator.observe(report)
     }
 
--- a/crates/core/src/placement/policy.rs
+++ b/crates/core/src/placement/policy.rs
@@ -1,7 +1,7 @@
 //! The border between policies and those who drive them.
 
-use crate::placement::layer::{ExpertMap, WeightLoad};
-use crate::placement::report::{LoadReport, ReportFault};
+use crate::placement::expert_map::{ExpertMap, WeightLoad};
+use crate::placement::report::{LoadReport, ReportError};
 use crate::time::Now;
 
 /// Decides when a group changes its expert map.
@@ -13,8 +13,8 @@
     ///
     /// # Errors
     ///
-    /// [`ReportFault`] when the report is not usable; the policy is then unchanged.
-    fn observe(&mut self, report: &LoadReport) -> Result<(), ReportFault>;
+    /// [`ReportError`] when the report is not usable; the policy is then unchanged.
+    fn observe(&mut self, report: &LoadReport) -> Result<(), ReportError>;
 
     /// Proposes a change of the present map, or none. It is not called again before the proposal
     /// is settled.
--- a/crates/core/src/placement/realised.rs
+++ b/crates/core/src/placement/realised.rs
@@ -5,7 +5,7 @@
 //! loads on which the decision was made are left out: the search chose the map that suits their
 //! noise, so they overrate it.
 
-use crate::placement::layer::ExpertMap;
+use crate::placement::expert_map::ExpertMap;
 use crate::placement::report::LoadReport;
 use crate::placement::skew::layer_skew;
 
--- a/crates/core/src/placement/report.rs
+++ b/crates/core/src/placement/report.rs
@@ -20,7 +20,7 @@
 
 /// Why a report was not used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum ReportFault {
+pub enum ReportError {
     /// Its steps are already covered by a report used before.
     #[error("steps up to {last_step} are already covered up to {covered}")]
     Covered {
@@ -57,19 +57,19 @@
     }
 
     /// Checks the report against its group.
-    pub(crate) fn check(&self, shape: &GroupShape) -> Result<(), ReportFault> {
+    pub(crate) fn check(&self, shape: &GroupShape) -> Result<(), ReportError> {
         if self.last_step < self.first_step {
-            return Err(ReportFault::Backwards { last_step: self.last_step });
+            return Err(ReportError::Backwards { last_step: self.last_step });
         }
         if self.layer_loads_tokens.len() != usize::from(shape.layers) {
-            return Err(ReportFault::Dimensions { layer: self.layer_loads_tokens.len() });
+            return Err(ReportError::Dimensions { layer: self.layer_loads_tokens.len() });
         }
         for (layer, loads) in self.layer_loads_tokens.iter().enumerate() {
             if loads.len() != usize::from(shape.experts_per_layer) {
-                return Err(ReportFault::Dimensions { layer });
+                return Err(ReportError::Dimensions { layer });
             }
             if !loads.iter().all(|load| load.is_finite() && *load >= 0.0) {
-                return Err(ReportFault::Load { layer });
+                return Err(ReportError::Load { layer });
             }
         }
         Ok(())
--- a/crates/core/src/placement/search.rs
+++ b/crates/core/src/placement/search.rs
@@ -3,7 +3,7 @@
 //! Edits take load from one of the slowest ranks to one of the fastest: by a further replica, by a
 //! move, by an exchange, or by dropping a replica that others can replace.
 
-use crate::placement::layer::LayerPlacement;
+use crate::placement::expert_map::LayerPlacement;
 use crate::placement::skew::{SmoothSpread, softness_tokens};
 
 /// Slowest ranks from which load is taken.
--- a/crates/core/src/placement/shape.rs
+++ b/crates/core/src/placement/shape.rs
@@ -20,7 +20,7 @@
 
 /// Why a group's dimensions admit no expert map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum ShapeFault {
+pub enum ShapeError {
     /// A dimension is zero.
     #[error("ranks, layers, experts and slots are all at least 1")]
     Zero,
@@ -45,11 +45,11 @@
     ///
     /// # Errors
     ///
-    /// [`ShapeFault`] when no expert map exists for these dimensions.
-    pub fn of(group: &ModelGroup) -> Result<Self, ShapeFault> {
+    /// [`ShapeError`] when no expert map exists for these dimensions.
+    pub fn from_model_group(group: &ModelGroup) -> Result<Self, ShapeError> {
         let ranks = group.backend_servers.len() * usize::from(group.ranks_per_server);
         let shape = Self {
-            ranks: u16::try_from(ranks).map_err(|_| ShapeFault::TooManyRanks { ranks })?,
+            ranks: u16::try_from(ranks).map_err(|_| ShapeError::TooManyRanks { ranks })?,
             layers: group.layers,
             experts_per_layer: group.experts_per_layer,
             expert_slots_per_rank: group.expert_slots_per_rank,
@@ -63,16 +63,16 @@
     ///
     /// # Errors
     ///
-    /// [`ShapeFault`] when none does.
-    pub fn validate(&self) -> Result<(), ShapeFault> {
+    /// [`ShapeError`] when none does.
+    pub fn validate(&self) -> Result<(), ShapeError> {
         let smallest =
             self.ranks.min(self.layers).min(self.experts_per_layer).min(self.expert_slots_per_rank);
         if smallest == 0 {
-            return Err(ShapeFault::Zero);
+            return Err(ShapeError::Zero);
         }
         let slots = self.slots_per_layer();
         if slots < u32::from(self.experts_per_layer) {
-            return Err(ShapeFault::TooFewSlots { slots, experts: self.experts_per_layer });
+            return Err(ShapeError::TooFewSlots { slots, experts: self.experts_per_layer });
         }
         Ok(())
     }
--- a/crates/core/src/placement/skew.rs
+++ b/crates/core/src/placement/skew.rs
@@ -5,7 +5,7 @@
 //! noise. It counts a rank that is nearly as slow as the slowest, and it shows no gain in evening
 //! out differences that lie within the noise.
 
-use crate::placement::layer::LayerPlacement;
+use crate::placement::expert_map::LayerPlacement;
 
 /// Softness of the extremes as a share of the standard deviation of one rank's load in one step.
 /// With it the smooth extremes of 8 to 64 equal ranks lie within a tenth of the mean extremes of
--- a/crates/core/src/placement/static_policy.rs
+++ b/crates/core/src/placement/static_policy.rs
@@ -1,8 +1,8 @@
 //! Baseline: the map never changes.
 
-use crate::placement::layer::ExpertMap;
+use crate::placement::expert_map::ExpertMap;
 use crate::placement::policy::{ChangeOutcome, ProposedChange, RebalancePolicy};
-use crate::placement::report::{LoadReport, ReportFault};
+use crate::placement::report::{LoadReport, ReportError};
 use crate::time::Now;
 
 /// Keeps the map that the group started with.
@@ -14,7 +14,7 @@
         "static"
     }
 
-    fn observe(&mut self, _report: &LoadReport) -> Result<(), ReportFault> {
+    fn observe(&mut self, _report: &LoadReport) -> Result<(), ReportError> {
         Ok(())
     }
 
--- a/crates/core/src/placement/weight_loader.rs
+++ b/crates/core/src/placement/weight_loader.rs
@@ -6,7 +6,7 @@
 //! group cannot adopt a map that one rank cannot follow.
 
 use crate::placement::backoff::retry_at;
-use crate::placement::layer::WeightLoad;
+use crate::placement::expert_map::WeightLoad;
 use crate::time::{Now, UnixMs};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
--- a/crates/core/src/placement/weighted_policy.rs
+++ b/crates/core/src/placement/weighted_policy.rs
@@ -4,10 +4,10 @@
 use crate::placement::cooldown::CoolDown;
 use crate::placement::cost::CostModel;
 use crate::placement::estimate::LoadEstimator;
-use crate::placement::layer::ExpertMap;
+use crate::placement::expert_map::ExpertMap;
 use crate::placement::policy::{ChangeOutcome, ProposedChange, RebalancePolicy};
 use crate::placement::realised::Realised;
-use crate::placement::report::{LoadReport, ReportFault};
+use crate::placement::report::{LoadReport, ReportError};
 use crate::placement::search::{LayerSearch, Trial};
 use crate::placement::server_loads::ServerLoads;
 use crate::placement::shape::GroupShape;
@@ -133,7 +133,7 @@
         "weighted"
     }
 
-    fn observe(&mut self, report: &LoadReport) -> Result<(), ReportFault> {
+    fn observe(&mut self, report: &LoadReport) -> Result<(), ReportError> {
         let changed_before_at = self.estimator.changed_at();
         self.estimator.observe(report)?;
         let steady_ms = self.estimator.changed_at().since(changed_before_at);
--- a/crates/core/tests/engine_orders.rs
+++ b/crates/core/tests/engine_orders.rs
@@ -4,14 +4,14 @@
 use hickorycross_core::map_change::{
     EngineOrder, EngineOrderKind, KnownMaps, OrderKind, RankOrder,
 };
-use hickorycross_core::placement::{ExpertMap, MapChange};
+use hickorycross_core::placement::{ExpertMap, MapDelta};
 use std::sync::Arc;
 
 const RANKS: u16 = 2;
 const EXPERTS: u16 = 4;
 
 fn map(of_first: &[u16]) -> Arc<ExpertMap> {
-    Arc::new(ExpertMap::around(0, RANKS, &[of_first.to_vec()], EXPERTS))
+    Arc::new(ExpertMap::from_known_rank(0, RANKS, &[of_first.to_vec()], EXPERTS))
 }
 
 fn order(kind: OrderKind) -> RankOrder {
@@ -27,7 +27,7 @@
 #[gtest]
 fn only_whole_orders_are_told() {
     let (before, after) = (map(&[0, 1]), map(&[0, 2]));
-    let change = Arc::new(MapChange::between(&before, &after));
+    let change = Arc::new(MapDelta::between(&before, &after));
     let cases = [
         Case {
             kind: OrderKind::Prepare { version: 5, map: Arc::clone(&after) },
@@ -59,7 +59,7 @@
 #[gtest]
 fn a_change_of_a_known_map_becomes_whole() {
     let (before, after) = (map(&[0, 1]), map(&[0, 2]));
-    let change = Arc::new(MapChange::between(&before, &after));
+    let change = Arc::new(MapDelta::between(&before, &after));
     let mut known = KnownMaps::default();
     let changed = OrderKind::PrepareChange { version: 5, base: 4, change };
     expect_that!(known.whole(&changed), err(anything()), "the base was never told");
--- a/crates/core/tests/map_orders.rs
+++ b/crates/core/tests/map_orders.rs
@@ -100,7 +100,8 @@
 fn a_map_around_a_rank_holds_every_expert() {
     for own in [0, 7, RANKS - 1] {
         let experts = dimensions().experts_per_layer;
-        let map = ExpertMap::around(own, RANKS, &[held(own), vec![3, 4, 5, 6, 7]], experts);
+        let map =
+            ExpertMap::from_known_rank(own, RANKS, &[held(own), vec![3, 4, 5, 6, 7]], experts);
         assert_eq!(map.layers[0].experts_of_rank[usize::from(own)], held(own));
         for layer in &map.layers {
             let all: Vec<u16> = layer.experts_of_rank.iter().flatten().copied().collect();
--- a/crates/core/tests/map_told.rs
+++ b/crates/core/tests/map_told.rs
@@ -9,7 +9,7 @@
     CountsSample, KnownMaps, Leader, LeaderAction, OrderEnd, OrderKind, RankOrder, RankStatus,
     Witness,
 };
-use hickorycross_core::placement::{ExpertMap, LayerPlacement, MapChange};
+use hickorycross_core::placement::{ExpertMap, LayerPlacement, MapDelta};
 use indexmap::IndexMap;
 use proptest::collection;
 use proptest::prelude::{Strategy, any, prop_assert_eq, proptest};
@@ -228,9 +228,10 @@
 fn changes_of_other_maps_do_not_apply() {
     let map = |layers: usize, ranks: u16| {
         let held = vec![vec![0]; usize::from(ranks)];
-        ExpertMap::around(0, ranks, &vec![held[0].clone(); layers], 8)
+        ExpertMap::from_known_rank(0, ranks, &vec![held[0].clone(); layers], 8)
     };
-    let change = MapChange::between(&map(2, 4), &ExpertMap::around(1, 4, &[vec![1], vec![2]], 8));
+    let change =
+        MapDelta::between(&map(2, 4), &ExpertMap::from_known_rank(1, 4, &[vec![1], vec![2]], 8));
     expect_that!(change.apply(&map(2, 4)), some(anything()));
     expect_that!(change.apply(&map(3, 4)), none());
     expect_that!(change.apply(&map(2, 1)), none());
@@ -247,15 +248,15 @@
     /// Whatever two maps hold, the change between them makes the one of the other, also after its way.
     #[test]
     fn a_change_makes_the_map_that_it_is_told_for(base in any_map(), target in any_map()) {
-        let bytes = postcard::to_stdvec(&MapChange::between(&base, &target)).expect("serialises");
-        let change: MapChange = postcard::from_bytes(&bytes).expect("deserialises");
+        let bytes = postcard::to_stdvec(&MapDelta::between(&base, &target)).expect("serialises");
+        let change: MapDelta = postcard::from_bytes(&bytes).expect("deserialises");
         prop_assert_eq!(change.apply(&base), Some(target));
     }
 
     /// Bytes from anywhere make no map, or one of the base's shape; nothing panics.
     #[test]
     fn any_bytes_make_no_other_shape(base in any_map(), bytes in collection::vec(any::<u8>(), 0..80)) {
-        let change: Result<MapChange, _> = postcard::from_bytes(&bytes);
+        let change: Result<MapDelta, _> = postcard::from_bytes(&bytes);
         if let Some(map) = change.ok().and_then(|change| change.apply(&base)) {
             prop_assert_eq!(map.layers.len(), base.layers.len());
             prop_assert_eq!(map.ranks(), base.ranks());
--- a/crates/core/tests/placement_map.rs
+++ b/crates/core/tests/placement_map.rs
@@ -4,8 +4,8 @@
 use hickorycross_config::Balance;
 use hickorycross_core::Now;
 use hickorycross_core::placement::{
-    ChangeOutcome, ExpertMap, GroupShape, LayerPlacement, LoadReport, MapFault, PeriodicPolicy,
-    ProposedChange, RebalancePolicy, ServerLoadCap, ShapeFault, ThresholdPolicy, WeightedPolicy,
+    ChangeOutcome, ExpertMap, GroupShape, LayerPlacement, LoadReport, MapError, PeriodicPolicy,
+    ProposedChange, RebalancePolicy, ServerLoadCap, ShapeError, ThresholdPolicy, WeightedPolicy,
     WeightedPolicySettings, pack_layer, refine_layer,
 };
 use proptest::prelude::{Strategy, any, proptest};
@@ -37,7 +37,7 @@
 struct MapCase {
     name: &'static str,
     experts_of_rank: Vec<Vec<u16>>,
-    expected: std::result::Result<(), MapFault>,
+    expected: std::result::Result<(), MapError>,
 }
 
 #[gtest]
@@ -52,27 +52,27 @@
         MapCase {
             name: "too few ranks",
             experts_of_rank: vec![vec![0, 1]],
-            expected: Err(MapFault::Ranks { layer: 0, found: 1, expected: 2 }),
+            expected: Err(MapError::Ranks { layer: 0, found: 1, expected: 2 }),
         },
         MapCase {
             name: "too many experts on a rank",
             experts_of_rank: vec![vec![0, 1, 2], vec![2]],
-            expected: Err(MapFault::Slots { layer: 0, rank: 0, found: 3, slots: 2 }),
+            expected: Err(MapError::Slots { layer: 0, rank: 0, found: 3, slots: 2 }),
         },
         MapCase {
             name: "repeated",
             experts_of_rank: vec![vec![0, 0], vec![1, 2]],
-            expected: Err(MapFault::Expert { layer: 0, rank: 0, expert: 0 }),
+            expected: Err(MapError::Expert { layer: 0, rank: 0, expert: 0 }),
         },
         MapCase {
             name: "unknown",
             experts_of_rank: vec![vec![0, 3], vec![1, 2]],
-            expected: Err(MapFault::Expert { layer: 0, rank: 0, expert: 3 }),
+            expected: Err(MapError::Expert { layer: 0, rank: 0, expert: 3 }),
         },
         MapCase {
             name: "missing",
             experts_of_rank: vec![vec![0], vec![2]],
-            expected: Err(MapFault::Missing { layer: 0, expert: 1 }),
+            expected: Err(MapError::Missing { layer: 0, expert: 1 }),
         },
     ];
     let shape = GroupShape { layers: 1, ..shape(2, 3, 2) };
@@ -85,17 +85,17 @@
 
 struct ShapeCase {
     shape: GroupShape,
-    expected: std::result::Result<(), ShapeFault>,
+    expected: std::result::Result<(), ShapeError>,
 }
 
 #[gtest]
 fn shapes_are_checked() {
     let cases = [
         ShapeCase { shape: shape(8, 64, 8), expected: Ok(()) },
-        ShapeCase { shape: shape(0, 64, 8), expected: Err(ShapeFault::Zero) },
+        ShapeCase { shape: shape(0, 64, 8), expected: Err(ShapeError::Zero) },
         ShapeCase {
             shape: shape(8, 64, 7),
-            expected: Err(ShapeFault::TooFewSlots { slots: 56, experts: 64 }),
+            expected: Err(ShapeError::TooFewSlots { slots: 56, experts: 64 }),
         },
     ];
     for case in cases {
--- a/crates/core/tests/placement_reports.rs
+++ b/crates/core/tests/placement_reports.rs
@@ -5,7 +5,7 @@
 use hickorycross_core::Now;
 use hickorycross_core::placement::{
     ChangeOutcome, ExpertMap, GroupShape, LoadEstimator, LoadReport, ProposedChange,
-    RebalancePolicy, ReportFault, WeightedPolicy, WeightedPolicySettings, pack_layer,
+    RebalancePolicy, ReportError, WeightedPolicy, WeightedPolicySettings, pack_layer,
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -151,7 +151,7 @@
 struct FaultCase {
     name: &'static str,
     report: LoadReport,
-    expected: ReportFault,
+    expected: ReportError,
 }
 
 // Symptom: estimates look surer than they are, and experts move on few reports.
@@ -159,7 +159,7 @@
 // Cause: steps counted twice, or numbers that are no loads.
 #[gtest]
 fn unusable_reports_change_nothing() {
-    let covered = |last_step| ReportFault::Covered { last_step, covered: 4 * STEPS - 1 };
+    let covered = |last_step| ReportError::Covered { last_step, covered: 4 * STEPS - 1 };
     let cases = [
         FaultCase { name: "repeated", report: hot(3, 1), expected: covered(4 * STEPS - 1) },
         FaultCase { name: "overtaken", report: hot(2, 1), expected: covered(3 * STEPS - 1) },
@@ -171,22 +171,22 @@
         FaultCase {
             name: "backwards",
             report: LoadReport { last_step: 0, ..hot(9, 1) },
-            expected: ReportFault::Backwards { last_step: 0 },
+            expected: ReportError::Backwards { last_step: 0 },
         },
         FaultCase {
             name: "layers",
             report: report(9, vec![vec![1.0; 32]; 2]),
-            expected: ReportFault::Dimensions { layer: 2 },
+            expected: ReportError::Dimensions { layer: 2 },
         },
         FaultCase {
             name: "experts",
             report: report(9, vec![vec![1.0; 32], vec![1.0; 31], vec![1.0; 32]]),
-            expected: ReportFault::Dimensions { layer: 1 },
+            expected: ReportError::Dimensions { layer: 1 },
         },
         FaultCase {
             name: "not a number",
             report: report(9, vec![vec![1.0; 32], vec![1.0; 32], vec![f32::NAN; 32]]),
-            expected: ReportFault::Load { layer: 2 },
+            expected: ReportError::Load { layer: 2 },
         },
     ];
     for case in cases {
--- a/crates/direct/src/agent/execute.rs
+++ b/crates/direct/src/agent/execute.rs
@@ -264,7 +264,7 @@
 ) -> Option<OrderKind> {
     let seat = report.seat.as_ref()?;
     let lists = engine.lists().await.ok()?;
-    let map = ExpertMap::around(seat.rank, seat.ranks, &lists.experts, experts_per_layer);
+    let map = ExpertMap::from_known_rank(seat.rank, seat.ranks, &lists.experts, experts_per_layer);
     Some(OrderKind::Prepare { version, map: Arc::new(map) })
 }
 
