--- a/crates/core/src/map_change/decide.rs
+++ b/crates/core/src/map_change/decide.rs
@@ -3,7 +3,9 @@
 use super::leader::{Leader, LeaderAction};
 use super::status::RankStatus;
 use crate::direct::{BootMs, GroupDimensions};
-use crate::placement::{ExpertMap, LayerPlacement, LevelSettings, bottleneck_load, level_map};
+use crate::placement::{
+    ExpertMap, LayerPlacement, RebalanceLimits, bottleneck_load, rebalance_map,
+};
 use std::sync::Arc;
 
 /// Least part of the bottleneck that a change must take away. Below it, copies cost more time than
@@ -90,13 +92,13 @@
         if before * (1.0 - LEAST_GAIN) <= even {
             return Some(Better::None);
         }
-        let settings = LevelSettings {
+        let settings = RebalanceLimits {
             slots_per_rank: dimensions.expert_slots_per_rank,
-            new_per_rank_and_layer: dimensions.spare_slots_per_rank,
-            new_per_rank: NEW_PER_RANK,
-            even_enough: EVEN_ENOUGH,
+            max_new_per_rank_and_layer: dimensions.spare_slots_per_rank,
+            max_new_per_rank: NEW_PER_RANK,
+            target_imbalance: EVEN_ENOUGH,
         };
-        let map = level_map(present, loads, &paces, &settings);
+        let map = rebalance_map(present, loads, &paces, &settings);
         let after = bottleneck_load(&map, loads, &paces);
         // A map fits the chance in its estimate too, which brings nothing afterwards.
         let least_gain = LEAST_GAIN + self.demand.uncertainty();
--- a/crates/core/src/placement/level.rs
+++ b/crates/core/src/placement/rebalance.rs
@@ -8,15 +8,15 @@
 
 /// Bounds of one change.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LevelSettings {
+pub struct RebalanceLimits {
     /// Experts of one layer that a rank can hold.
     pub slots_per_rank: u16,
     /// Experts of one layer that may be new to a rank.
-    pub new_per_rank_and_layer: u16,
+    pub max_new_per_rank_and_layer: u16,
     /// Experts of all layers together that may be new to a rank; bounds the time for copies.
-    pub new_per_rank: u16,
+    pub max_new_per_rank: u16,
     /// Most loaded rank against the mean from which a layer is even enough.
-    pub even_enough: f64,
+    pub target_imbalance: f64,
 }
 
 /// Coolest ranks that are tried as takers of load.
@@ -31,11 +31,11 @@
 /// Finds a map that is more even for `loads` (by layer and expert, in any unit) on ranks whose work
 /// takes `paces` times as long as usual.
 #[must_use]
-pub fn level_map(
+pub fn rebalance_map(
     present: &ExpertMap,
     loads: &[Vec<f64>],
     paces: &[f64],
-    settings: &LevelSettings,
+    settings: &RebalanceLimits,
 ) -> ExpertMap {
     let ranks = present.layers.first().map_or(0, |layer| layer.experts_of_rank.len());
     let mut new_by_rank = vec![0; ranks];
@@ -51,7 +51,7 @@
     for _ in 0..MOST_STEPS * layers.len() {
         let worst = imbalances.iter().enumerate().max_by(|left, right| left.1.total_cmp(right.1));
         let Some((worst, imbalance)) = worst else { break };
-        if *imbalance <= settings.even_enough {
+        if *imbalance <= settings.target_imbalance {
             break;
         }
         imbalances[worst] = match layers[worst].best_step(&new_by_rank, &mut scratch) {
@@ -121,7 +121,7 @@
     present: &'a LayerPlacement,
     loads: &'a [f64],
     paces: &'a [f64],
-    settings: &'a LevelSettings,
+    settings: &'a RebalanceLimits,
     experts_of_rank: Vec<Vec<u16>>,
     ranks_of_expert: Vec<Vec<usize>>,
     rank_loads: Vec<f64>,
@@ -134,7 +134,7 @@
         present: &'a LayerPlacement,
         loads: &'a [f64],
         paces: &'a [f64],
-        settings: &'a LevelSettings,
+        settings: &'a RebalanceLimits,
     ) -> Self {
         let experts_of_rank = present.experts_of_rank.clone();
         let mut ranks_of_expert = vec![Vec::new(); loads.len()];
@@ -274,8 +274,8 @@
 
     fn fits(&self, added: &Places, new_in_all: &[u16]) -> bool {
         added.as_slice().iter().filter(|place| self.is_copy(place)).all(|place| {
-            self.new_by_rank[place.0] < self.settings.new_per_rank_and_layer
-                && new_in_all[place.0] < self.settings.new_per_rank
+            self.new_by_rank[place.0] < self.settings.max_new_per_rank_and_layer
+                && new_in_all[place.0] < self.settings.max_new_per_rank
         })
     }
 
--- a/crates/core/tests/placement_level.rs
+++ b/crates/core/tests/placement_rebalance.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use hickorycross_core::placement::{
-    ExpertMap, GroupShape, LayerPlacement, LevelSettings, bottleneck_load, level_map,
+    ExpertMap, GroupShape, LayerPlacement, RebalanceLimits, bottleneck_load, rebalance_map,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -10,11 +10,11 @@
 const RANKS: u16 = 12;
 const EXPERTS: u16 = 72;
 const LAYERS: u16 = 4;
-const SETTINGS: LevelSettings = LevelSettings {
+const SETTINGS: RebalanceLimits = RebalanceLimits {
     slots_per_rank: 8,
-    new_per_rank_and_layer: 3,
-    new_per_rank: 5,
-    even_enough: 1.08,
+    max_new_per_rank_and_layer: 3,
+    max_new_per_rank: 5,
+    target_imbalance: 1.08,
 };
 
 fn in_turn() -> ExpertMap {
@@ -44,7 +44,7 @@
 struct Case {
     name: &'static str,
     slow_rank: Option<(usize, f64)>,
-    settings: LevelSettings,
+    settings: RebalanceLimits,
     /// Bottleneck after one change, against an even load.
     most_after: f64,
 }
@@ -57,13 +57,13 @@
         Case {
             name: "few copies",
             slow_rank: None,
-            settings: LevelSettings { new_per_rank: 2, ..SETTINGS },
+            settings: RebalanceLimits { max_new_per_rank: 2, ..SETTINGS },
             most_after: 2.0,
         },
         Case {
             name: "a slow rank",
             slow_rank: Some((3, 4.0)),
-            settings: LevelSettings { new_per_rank: 12, ..SETTINGS },
+            settings: RebalanceLimits { max_new_per_rank: 12, ..SETTINGS },
             most_after: 1.6,
         },
     ];
@@ -81,7 +81,7 @@
             if let Some((rank, pace)) = case.slow_rank {
                 paces[rank] = pace;
             }
-            let map = level_map(&present, &loads, &paces, &case.settings);
+            let map = rebalance_map(&present, &loads, &paces, &case.settings);
             expect_that!(map.validate(&shape), ok(anything()), "{} seed {seed}", case.name);
             let after = bottleneck_load(&map, &loads, &paces) / even(&loads);
             expect_that!(after, le(case.most_after), "{} seed {seed}", case.name);
@@ -90,7 +90,7 @@
                 let of_rank = copies.iter().filter(|copy| copy.rank == rank);
                 expect_that!(
                     of_rank.clone().count(),
-                    le(usize::from(case.settings.new_per_rank)),
+                    le(usize::from(case.settings.max_new_per_rank)),
                     "{} seed {seed}",
                     case.name
                 );
@@ -108,6 +108,6 @@
 fn an_even_map_is_left_alone() {
     let loads = vec![vec![100.0; usize::from(EXPERTS)]; usize::from(LAYERS)];
     let paces = vec![1.0; usize::from(RANKS)];
-    let map = level_map(&in_turn(), &loads, &paces, &SETTINGS);
+    let map = rebalance_map(&in_turn(), &loads, &paces, &SETTINGS);
     expect_that!(map, eq(&in_turn()));
 }
--- a/crates/lab/examples/level_time.rs
+++ b/crates/lab/examples/level_time.rs
@@ -2,7 +2,7 @@
 //! of the group. Ranks hold 2 experts of each of 16 layers and have a slot more.
 
 use hickorycross_core::placement::{
-    ExpertMap, LayerPlacement, LevelSettings, bottleneck_load, level_map,
+    ExpertMap, LayerPlacement, RebalanceLimits, bottleneck_load, rebalance_map,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -10,11 +10,11 @@
 
 const LAYERS: usize = 16;
 const EXPERTS_PER_RANK: u16 = 2;
-const SETTINGS: LevelSettings = LevelSettings {
+const SETTINGS: RebalanceLimits = RebalanceLimits {
     slots_per_rank: 3,
-    new_per_rank_and_layer: 2,
-    new_per_rank: 5,
-    even_enough: 1.08,
+    max_new_per_rank_and_layer: 2,
+    max_new_per_rank: 5,
+    target_imbalance: 1.08,
 };
 /// Shifts of demand; the first one finds the map that the group was formed with.
 const SHIFTS: u64 = 6;
@@ -40,7 +40,7 @@
         let even = loads.iter().flatten().sum::<f64>() / f64::from(ranks);
         before += bottleneck_load(&map, &loads, &paces) / even;
         let begun = Instant::now();
-        map = level_map(&map, &loads, &paces, &SETTINGS);
+        map = rebalance_map(&map, &loads, &paces, &SETTINGS);
         let took_ms = begun.elapsed().as_secs_f64() * 1e3;
         sum_ms += took_ms;
         longest_ms = longest_ms.max(took_ms);
