--- a/crates/core/src/placement/change.rs
+++ b/crates/core/src/placement/change.rs
@@ -1,11 +1,11 @@
-//! Describing a change of map: what is loaded and what is expected of it.
+//! Builds a proposed change from two maps: the weights to load and the predicted skew.
 
 use crate::placement::estimate::LoadEstimator;
 use crate::placement::expert_map::ExpertMap;
 use crate::placement::policy::{Prediction, ProposedChange};
 use crate::placement::skew::layer_skew;
 
-/// Describes the change from `present` to `target`; none when they are equal.
+/// Returns the change from `present` to `target`, or `None` when they are equal.
 pub(crate) fn change_between(
     estimator: &LoadEstimator,
     present: &ExpertMap,
@@ -24,6 +24,7 @@
     Some(ProposedChange { target, loads, prediction })
 }
 
+/// Returns the predicted skew of a map, averaged over its layers.
 fn map_skew(estimator: &LoadEstimator, map: &ExpertMap) -> f64 {
     let skews = map.layers.iter().enumerate();
     let sum: f64 = skews.map(|(layer, placed)| layer_skew(placed, estimator.loads(layer))).sum();
--- a/crates/core/src/placement/collect.rs
+++ b/crates/core/src/placement/collect.rs
@@ -1,61 +1,68 @@
-//! Puts a group's load reports together from those of its engines.
+//! Combines the loads reported by a group's engines into load reports of the whole group.
+//!
+//! Each agent sums the windows of its engine into spans with a [`SpanBuilder`]. The coordinator
+//! merges the spans of all engines with a [`LoadCollector`].
 
 use crate::placement::report::LoadReport;
 use crate::time::{Now, UnixMs};
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// Windows of steps that wait for engines which have not reported yet.
-const MAX_OPEN_WINDOWS: usize = 8;
+/// Maximum number of step windows kept while some of their engines have not reported yet.
+const MAX_INCOMPLETE_WINDOWS: usize = 8;
 
-/// Load of the experts on one engine's ranks over a window of steps.
+/// The load of the experts on one engine's ranks over a window of steps.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankLoad {
     /// First rank that the engine hosts.
     pub first_rank: u16,
-    /// Ranks that it hosts.
+    /// Number of consecutive ranks that the engine hosts.
     pub rank_count: u16,
     /// First step of the window.
     pub first_step: u64,
     /// Last step of the window.
     pub last_step: u64,
-    /// For each layer and expert, tokens that these ranks processed.
+    /// For each layer and expert, the number of tokens that these ranks processed.
     pub layer_loads_tokens: Vec<Vec<u32>>,
 }
 
-/// Steps over which an agent sums up its engine's windows, at least.
+/// Length in steps of the spans into which an agent sums its engine's windows.
 ///
-/// Every engine of a group ends its windows at the same steps, but agents read them at different
-/// moments. Were each to pass on the latest window that it finds, windows of distinct engines would
-/// seldom be the same, and one would see no report of the group for minutes. Spans end at multiples
-/// of this number of steps, whoever reads when.
+/// A span can be longer or shorter by part of a window, since it ends with the window that reaches
+/// a multiple of this number. Every engine of a group ends its windows at the same steps, but
+/// agents read them at different times. If each agent forwarded the latest window that it finds,
+/// windows of different engines would rarely match, and the group would go without a report for
+/// minutes. Span boundaries depend on step numbers only, so the spans of all engines match.
 pub const SPAN_STEPS: u64 = 200;
 
-/// Sums up the windows of one engine into spans that all agents of the group cut alike.
+/// Sums the windows of one engine into spans with the same boundaries in all agents of a group.
+///
+/// A window that does not directly follow the one before it starts a new span.
 #[derive(Debug, Default)]
 pub struct SpanBuilder {
-    open: Option<RankLoad>,
+    incomplete: Option<RankLoad>,
 }
 
 impl SpanBuilder {
-    /// Takes the next window; gives the span that it completes.
+    /// Adds the next window and returns the span that it completes, if any.
     pub fn push(&mut self, window: RankLoad) -> Option<RankLoad> {
         let ends_span = window.first_step / SPAN_STEPS != (window.last_step + 1) / SPAN_STEPS;
-        let is_next = self.open.as_ref().is_some_and(|open| {
-            open.last_step + 1 == window.first_step && open.first_rank == window.first_rank
+        let is_next = self.incomplete.as_ref().is_some_and(|incomplete| {
+            incomplete.last_step + 1 == window.first_step
+                && incomplete.first_rank == window.first_rank
         });
-        let span = match self.open.take().filter(|_| is_next) {
-            Some(mut open) => {
-                open.last_step = window.last_step;
-                add_layers(&mut open.layer_loads_tokens, &window.layer_loads_tokens);
-                open
+        let span = match self.incomplete.take().filter(|_| is_next) {
+            Some(mut incomplete) => {
+                incomplete.last_step = window.last_step;
+                add_layers(&mut incomplete.layer_loads_tokens, &window.layer_loads_tokens);
+                incomplete
             }
             None => window,
         };
         if ends_span {
             return Some(span);
         }
-        self.open = Some(span);
+        self.incomplete = Some(span);
         None
     }
 }
@@ -77,55 +84,58 @@
 }
 
 #[derive(Debug)]
-struct OpenWindow {
-    began: UnixMs,
+struct IncompleteWindow {
+    first_received_at: UnixMs,
     loads: IndexMap<u16, RankLoad>,
 }
 
-/// Collects the loads of one group's engines.
+/// Merges the loads of one group's engines into reports of the whole group.
 ///
-/// Engines end their windows at the same steps, since they step together. A window that lacks an
-/// engine is never reported: its missing experts would look idle and be moved for nothing.
+/// Engines advance in lock-step, so their windows end at the same steps. A window that lacks an
+/// engine is never reported: its experts would look idle and be moved needlessly.
 #[derive(Debug)]
 pub struct LoadCollector {
     ranks: u16,
-    open: IndexMap<Window, OpenWindow>,
+    incomplete: IndexMap<Window, IncompleteWindow>,
 }
 
 impl LoadCollector {
-    /// Begins for a group of so many ranks.
+    /// Creates a collector for a group of `ranks` ranks.
     #[must_use]
     pub fn new(ranks: u16) -> Self {
-        Self { ranks, open: IndexMap::new() }
+        Self { ranks, incomplete: IndexMap::new() }
     }
 
-    /// Takes one engine's load; gives the group's once the last engine of the window has reported.
+    /// Adds one engine's load and returns the group's report once all ranks of the window are
+    /// covered.
+    ///
+    /// Windows that ended no later than the reported one are then dropped.
     pub fn add(&mut self, now: Now, load: RankLoad) -> Option<LoadReport> {
         let window = Window { first_step: load.first_step, last_step: load.last_step };
-        let open = self
-            .open
-            .entry(window)
-            .or_insert_with(|| OpenWindow { began: now.unix_ms, loads: IndexMap::new() });
-        open.loads.insert(load.first_rank, load);
-        let covered: u32 = open.loads.values().map(|load| u32::from(load.rank_count)).sum();
+        let incomplete = self.incomplete.entry(window).or_insert_with(|| IncompleteWindow {
+            first_received_at: now.unix_ms,
+            loads: IndexMap::new(),
+        });
+        incomplete.loads.insert(load.first_rank, load);
+        let covered: u32 = incomplete.loads.values().map(|load| u32::from(load.rank_count)).sum();
         if covered < u32::from(self.ranks) {
-            self.forget_oldest();
+            self.drop_oldest();
             return None;
         }
-        let whole = self.open.shift_remove(&window)?;
-        self.open.retain(|open, _| open.last_step > window.last_step);
-        Some(whole.sum_up(window))
+        let complete = self.incomplete.shift_remove(&window)?;
+        self.incomplete.retain(|incomplete, _| incomplete.last_step > window.last_step);
+        Some(complete.into_report(window))
     }
 
-    fn forget_oldest(&mut self) {
-        if self.open.len() > MAX_OPEN_WINDOWS {
-            self.open.shift_remove_index(0);
+    fn drop_oldest(&mut self) {
+        if self.incomplete.len() > MAX_INCOMPLETE_WINDOWS {
+            self.incomplete.shift_remove_index(0);
         }
     }
 }
 
-impl OpenWindow {
-    fn sum_up(self, window: Window) -> LoadReport {
+impl IncompleteWindow {
+    fn into_report(self, window: Window) -> LoadReport {
         let mut sums: Vec<Vec<f32>> = Vec::new();
         for load in self.loads.values() {
             sums.resize_with(sums.len().max(load.layer_loads_tokens.len()), Vec::new);
@@ -136,7 +146,7 @@
         LoadReport {
             first_step: window.first_step,
             last_step: window.last_step,
-            ended_at: self.began,
+            ended_at: self.first_received_at,
             layer_loads_tokens: sums,
         }
     }
--- a/crates/core/src/placement/cooldown.rs
+++ b/crates/core/src/placement/cooldown.rs
@@ -1,69 +1,71 @@
-//! The pause after a change, longer while changes do not bring what was predicted.
+//! The pause after a change of map, which grows while changes fall short of their predicted gain.
 
 use crate::time::{Now, UnixMs};
 
-/// Shortest pause: reports on the new map must have arrived.
-const SHORTEST_MS: u64 = 4_000;
-/// Longest pause; a group that predicts badly still follows demand at this pace.
-const LONGEST_MS: u64 = 600_000;
-/// Share of a predicted gain below which it counts as not realised.
-const REALISED_SHARE: f64 = 0.5;
-/// Shortfall of skew that is left to chance: a change is judged on few reports.
-const TOLERATED_SHORTFALL: f64 = 0.01;
-/// Factor by which the pause grows or shrinks.
-const STEP_FACTOR: u64 = 2;
+/// Minimum pause, so that reports of steps on the new map arrive before the next proposal.
+const MIN_PAUSE_MS: u64 = 4_000;
+/// Maximum pause, so that a group with poor predictions still follows demand.
+const MAX_PAUSE_MS: u64 = 600_000;
+/// Share of the predicted gain below which a change counts as having failed its prediction.
+const MIN_REALISED_SHARE: f64 = 0.5;
+/// Shortfall of skew that is attributed to noise, because a change is evaluated on few reports.
+const SKEW_TOLERANCE: f64 = 0.01;
+/// Factor by which the pause grows after a failed change and shrinks after a successful one.
+const PAUSE_FACTOR: u64 = 2;
 
-/// When the next change may be proposed.
+/// Tracks when the next change may be proposed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CoolDown {
-    closed_until: UnixMs,
+    ends_at: UnixMs,
     pause_ms: u64,
 }
 
 impl CoolDown {
     pub(crate) fn new() -> Self {
-        Self { closed_until: UnixMs::default(), pause_ms: SHORTEST_MS }
+        Self { ends_at: UnixMs::default(), pause_ms: MIN_PAUSE_MS }
     }
 
     pub(crate) fn is_over(&self, now: Now) -> bool {
-        self.closed_until.is_past(now)
+        self.ends_at.is_past(now)
     }
 
     /// Starts the pause after an adopted change.
     pub(crate) fn start(&mut self, now: Now) {
-        self.closed_until = now.after(self.pause_ms);
+        self.ends_at = now.after(self.pause_ms);
     }
 
     /// Lengthens the pause after an abandoned change and starts it.
     ///
-    /// A weight store that fails would otherwise be asked for the same loads again at once, by
-    /// every group; one would notice its refusals rise while no map changes.
+    /// Otherwise every group would immediately request the same loads again from a failing weight
+    /// store, whose refusals would rise while no map changes.
     pub(crate) fn back_off(&mut self, now: Now) {
         self.lengthen();
         self.start(now);
     }
 
-    /// Compares the gain of the last change on later reports with its prediction.
-    pub(crate) fn judge(&mut self, now: Now, predicted: f64, realised: f64) {
-        if realised < REALISED_SHARE * predicted - TOLERATED_SHORTFALL {
+    /// Adjusts the pause to how the realised gain of the last change compares with its prediction.
+    ///
+    /// Both gains are reductions of the mean skew over layers.
+    pub(crate) fn evaluate(&mut self, now: Now, predicted: f64, realised: f64) {
+        if realised < MIN_REALISED_SHARE * predicted - SKEW_TOLERANCE {
             self.lengthen();
             self.start(now);
         } else {
-            self.pause_ms = (self.pause_ms / STEP_FACTOR).max(SHORTEST_MS);
+            self.pause_ms = (self.pause_ms / PAUSE_FACTOR).max(MIN_PAUSE_MS);
         }
     }
 
-    /// Ends the pause because demand has changed after it was steady for long.
+    /// Ends the pause and restores its minimum length, for a sudden change after steady demand.
     ///
-    /// Pauses lengthen while small gains fail to show; held through a sudden change, they would
-    /// keep the group on a map for the demand before. One would notice skew that stays high for
-    /// minutes after the change. Demand that changes all the time does not get here, because no
-    /// gain lasts under it.
-    pub(crate) fn lift(&mut self) {
+    /// Pauses grow while small gains are not realised. If such a pause continued through a sudden
+    /// change of demand, the group would stay on an outdated map and skew would remain high for
+    /// minutes. Callers do not reset the pause under constantly changing demand, because no gain
+    /// lasts under it.
+    pub(crate) fn reset(&mut self) {
         *self = Self::new();
     }
 
     fn lengthen(&mut self) {
-        self.pause_ms = (self.pause_ms * STEP_FACTOR).min(LONGEST_MS);
+        self.pause_ms = (self.pause_ms * PAUSE_FACTOR).min(MAX_PAUSE_MS);
     }
 }
--- a/crates/core/src/placement/realised.rs
+++ b/crates/core/src/placement/evaluation.rs
@@ -1,20 +1,20 @@
-//! Whether a change brought what was predicted.
+//! Compares the realised gain of a change with its prediction.
 //!
-//! Expert loads do not depend on the map. Loads reported after the change therefore tell what both
-//! the old and the new map give, and a drift of demand meanwhile does not blur the comparison. The
-//! loads on which the decision was made are left out: the search chose the map that suits their
-//! noise, so they overrate it.
+//! Expert loads do not depend on the map. Loads reported after the change therefore give the skew
+//! of both the old and the new map, and drift of demand does not distort the comparison. The loads
+//! from which the change was proposed are excluded: the search picked the map that fits their
+//! noise, so they overestimate its gain.
 
 use crate::placement::expert_map::ExpertMap;
 use crate::placement::report::LoadReport;
 use crate::placement::skew::layer_skew;
 
-/// Reports after a change on which it is judged.
-const JUDGED_REPORTS: u32 = 2;
+/// Number of reports after a change from which its gain is computed.
+const EVALUATED_REPORTS: u32 = 2;
 
-/// A change that is being judged.
+/// Collects the loads reported after a change and computes its realised gain.
 #[derive(Clone, Debug)]
-pub(crate) struct Realised {
+pub(crate) struct ChangeEvaluation {
     before: ExpertMap,
     predicted: f64,
     first_step: Option<u64>,
@@ -23,23 +23,25 @@
     tokens: Vec<Vec<f64>>,
 }
 
-/// A finished comparison, as mean reduction of skew over layers.
+/// The predicted and the realised gain of a change, as the mean reduction of skew over layers.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Judgement {
+pub(crate) struct GainComparison {
     pub(crate) predicted: f64,
     pub(crate) realised: f64,
 }
 
-impl Realised {
+impl ChangeEvaluation {
     pub(crate) fn new(before: ExpertMap, predicted: f64) -> Self {
         let tokens = Vec::new();
         Self { before, predicted, first_step: None, reports: 0, steps: 0.0, tokens }
     }
 
-    pub(crate) fn adopt(&mut self, first_step: u64) {
+    /// Records the first step on the new map; earlier steps are not evaluated.
+    pub(crate) fn record_adoption(&mut self, first_step: u64) {
         self.first_step = Some(first_step);
     }
 
+    /// Adds a report if all its steps were run on the new map.
     pub(crate) fn observe(&mut self, report: &LoadReport) {
         if self.first_step.is_none_or(|first_step| report.first_step < first_step) {
             return;
@@ -54,9 +56,10 @@
         self.reports += 1;
     }
 
-    /// Compares the old with the present map once enough reports came.
-    pub(crate) fn judge(&self, present: &ExpertMap) -> Option<Judgement> {
-        if self.reports < JUDGED_REPORTS {
+    /// Returns the predicted and the realised gain of the present map over the previous one, or
+    /// `None` until enough reports have arrived.
+    pub(crate) fn compare(&self, present: &ExpertMap) -> Option<GainComparison> {
+        if self.reports < EVALUATED_REPORTS {
             return None;
         }
         let mut realised = 0.0;
@@ -66,6 +69,6 @@
             realised -= layer_skew(&present.layers[layer], &loads);
         }
         let realised = realised / self.tokens.len().max(1) as f64;
-        Some(Judgement { predicted: self.predicted, realised })
+        Some(GainComparison { predicted: self.predicted, realised })
     }
 }
--- a/crates/core/src/placement/expert_map.rs
+++ b/crates/core/src/placement/expert_map.rs
@@ -1,15 +1,15 @@
-//! Which rank holds which experts.
+//! Expert maps: which rank of a group holds which experts of each layer.
 
 use crate::placement::shape::GroupShape;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Experts of one layer by rank.
+/// The experts of one layer by rank.
 ///
-/// An expert may stand on several ranks; its load is split evenly over them.
+/// An expert may have replicas on several ranks; its load is split evenly between them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LayerPlacement {
-    /// For each rank, the experts that it holds, without repetition.
+    /// For each rank, the distinct experts that it holds.
     pub experts_of_rank: Vec<Vec<u16>>,
 }
 
@@ -21,8 +21,10 @@
 }
 
 impl ExpertMap {
-    /// A map of `ranks` ranks in which the rank `own` has the experts in `held`, layer by layer, and the
-    /// others share all further ones evenly.
+    /// Creates a map of `ranks` ranks of which only the rank `own` is known.
+    ///
+    /// That rank holds the experts in `held`, listed by layer. The remaining experts are
+    /// distributed evenly over the other ranks.
     #[must_use]
     pub fn from_known_rank(
         own: u16,
@@ -44,7 +46,7 @@
     }
 }
 
-/// One expert's weights to be loaded by one rank.
+/// A load of one expert's weights by one rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WeightLoad {
     /// Index of the layer.
@@ -55,19 +57,19 @@
     pub rank: u16,
 }
 
-/// Why a map does not fit its group.
+/// An error in an expert map that is checked against the shape of its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MapError {
-    /// The map has another number of layers than the group.
-    #[error("{found} layers in place of {expected}")]
+    /// The map and the group differ in their number of layers.
+    #[error("map has {found} layers, expected {expected}")]
     Layers {
         /// Layers of the map.
         found: usize,
         /// Layers of the group.
         expected: u16,
     },
-    /// A layer has another number of ranks than the group.
-    #[error("layer {layer}: {found} ranks in place of {expected}")]
+    /// A layer and the group differ in their number of ranks.
+    #[error("layer {layer} has {found} ranks, expected {expected}")]
     Ranks {
         /// Index of the layer.
         layer: usize,
@@ -77,25 +79,25 @@
         expected: u16,
     },
     /// A rank holds more experts than it has slots.
-    #[error("layer {layer} rank {rank}: {found} experts in {slots} slots")]
+    #[error("layer {layer} rank {rank}: {found} experts exceed {slots} slots")]
     Slots {
         /// Index of the layer.
         layer: usize,
         /// Index of the rank.
         rank: usize,
-        /// Experts that it holds.
+        /// Experts that the rank holds.
         found: usize,
-        /// Slots that it has.
+        /// Slots that the rank has.
         slots: u16,
     },
-    /// A rank names an expert that the layer does not have, or names one twice.
+    /// A rank lists an expert that the layer does not have, or lists one twice.
     #[error("layer {layer} rank {rank}: expert {expert} is unknown or repeated")]
     Expert {
         /// Index of the layer.
         layer: usize,
         /// Index of the rank.
         rank: usize,
-        /// The expert named.
+        /// The unknown or repeated expert.
         expert: u16,
     },
     /// No rank holds an expert.
@@ -130,7 +132,7 @@
         self.experts_of_rank.iter().map(|experts| experts.iter().map(share).sum()).collect()
     }
 
-    /// Whether `rank` holds `expert`.
+    /// Returns whether `rank` holds `expert`.
     #[must_use]
     pub fn holds(&self, rank: u16, expert: u16) -> bool {
         self.experts_of_rank[usize::from(rank)].contains(&expert)
@@ -175,17 +177,18 @@
 }
 
 impl ExpertMap {
-    /// Ranks of the group.
+    /// Returns the number of ranks, or 0 for a map without layers.
     #[must_use]
     pub fn ranks(&self) -> usize {
         self.layers.first().map_or(0, |layer| layer.experts_of_rank.len())
     }
 
-    /// Checks the map against its group: every expert placed, no slot exceeded, none repeated.
+    /// Checks the map against the shape of its group: every expert is placed, no rank holds more
+    /// experts than it has slots, and none lists an expert twice.
     ///
     /// # Errors
     ///
-    /// The first [`MapError`] found.
+    /// Returns the first [`MapError`] found.
     pub fn validate(&self, shape: &GroupShape) -> Result<(), MapError> {
         if self.layers.len() != usize::from(shape.layers) {
             return Err(MapError::Layers { found: self.layers.len(), expected: shape.layers });
@@ -193,7 +196,7 @@
         self.layers.iter().enumerate().try_for_each(|(layer, placed)| placed.check(layer, shape))
     }
 
-    /// Lists what ranks must load so that `target` can follow this map.
+    /// Returns the weights that ranks must load before this map can be replaced by `target`.
     #[must_use]
     pub fn weight_loads_for(&self, target: &Self) -> Vec<WeightLoad> {
         let mut loads = Vec::new();
--- a/crates/core/src/placement/map_delta.rs
+++ b/crates/core/src/placement/map_delta.rs
@@ -1,34 +1,35 @@
-//! What one expert map changes in another.
+//! The difference between two expert maps, in a compact form for messages.
 
 use crate::placement::expert_map::{ExpertMap, LayerPlacement};
 use serde::{Deserialize, Serialize};
 
-/// Experts of the ranks that hold others by a new map than before, layer by layer.
+/// The experts of all ranks whose placement differs between two maps, by layer.
 ///
-/// A change moves some hundred of the thousands of experts that a map of a large group names, so this is
-/// less than half as long as the map.
+/// A change moves some hundred of the thousands of experts that the map of a large group lists, so
+/// an encoded delta is less than half as long as the map.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MapDelta {
     layers: Vec<Vec<ChangedRank>>,
 }
 
-/// What a rank holds of a layer by the new map.
+/// The experts of one layer that a rank holds in the new map.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ChangedRank {
-    /// Ranks between this one and the changed one before it, which takes a byte where a rank takes two.
+    /// Number of unchanged ranks since the previous changed one. It usually encodes in one byte,
+    /// where an absolute rank takes two.
     skipped: u16,
     experts: Vec<u16>,
 }
 
 impl MapDelta {
-    /// What makes `base` into `target`.
+    /// Returns the delta that turns `base` into `target`.
     #[must_use]
     pub fn between(base: &ExpertMap, target: &ExpertMap) -> Self {
         let layers = base.layers.iter().zip(&target.layers);
         Self { layers: layers.map(|(base, target)| changed_ranks(base, target)).collect() }
     }
 
-    /// The map that this makes of `base`; nothing if it is about a map of another shape.
+    /// Applies the delta to `base`. Returns `None` when the delta does not fit the shape of `base`.
     #[must_use]
     pub fn apply(&self, base: &ExpertMap) -> Option<ExpertMap> {
         if self.layers.len() != base.layers.len() {
@@ -47,6 +48,7 @@
     }
 }
 
+/// Returns the ranks of one layer that hold other experts in `target` than in `base`.
 fn changed_ranks(base: &LayerPlacement, target: &LayerPlacement) -> Vec<ChangedRank> {
     let mut skipped = 0;
     let mut changed = Vec::new();
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,9 +1,18 @@
-//! When to rebalance experts, and which to move.
+//! Placement of a model group's experts on its ranks.
 //!
-//! Step reports arrive late and feed a [`LoadEstimator`]. A [`RebalancePolicy`] compares the
-//! present [`ExpertMap`] with maps that a few loads would give and proposes a [`ProposedChange`] when that
-//! pays. The [`WeightLoader`] of each agent turns the change into paced background loads. Whether and
-//! when the ranks adopt the new map is the business of the group agreement, not of this module.
+//! An [`ExpertMap`] says which rank holds which experts of each layer. This module decides when
+//! that map should change and how the weights that a change needs are loaded:
+//!
+//! - A [`SpanBuilder`] and a [`LoadCollector`] combine the loads that each engine measures into
+//!   [`LoadReport`]s of the whole group.
+//! - A [`LoadEstimator`] smooths these reports, which arrive late, into per-expert loads.
+//! - A [`RebalancePolicy`] compares the present map with maps that differ in a few experts and
+//!   returns a [`ProposedChange`] when the predicted gain exceeds the cost.
+//! - [`rebalance_map`] finds a more even map under fixed limits, without a cost model.
+//! - A [`WeightLoader`] in each agent loads the weights that a change needs in the background, at
+//!   the agent's share of the weight store's rate.
+//!
+//! The agreement between the ranks on when to adopt a new map is not part of this module.
 
 mod backoff;
 mod change;
@@ -11,17 +20,17 @@
 mod cooldown;
 mod cost;
 mod estimate;
+mod evaluation;
 mod expert_map;
 mod map_delta;
 mod noise;
 mod pack;
 mod periodic_policy;
 mod policy;
-mod realised;
 mod rebalance;
 mod report;
 mod search;
-mod server_loads;
+mod server_load_budget;
 mod shape;
 mod skew;
 mod static_policy;
--- a/crates/core/src/placement/noise.rs
+++ b/crates/core/src/placement/noise.rs
@@ -1,28 +1,29 @@
-//! Noise of per-expert loads, from differences between reports.
+//! Estimates the noise of per-expert loads from differences between reports.
 //!
-//! Differences are blind to slow drift, which would otherwise count as noise. Two distances, one
-//! report and [`LONG_LAG_REPORTS`], show how far noise is correlated in time: requests live for
-//! many steps, so neighbouring reports share most of their tokens.
+//! Differences between reports cancel slow drift, which a variance around the mean would count as
+//! noise. Differences are taken at a lag of one report and at a lag of [`LONG_LAG_REPORTS`]; their
+//! ratio shows how strongly noise is correlated in time. It is correlated because requests last for
+//! many steps, so neighbouring reports share most of their requests.
 
 use std::collections::VecDeque;
 
-/// Distance in reports at which noise counts as independent.
+/// Lag in reports at which noise is treated as independent.
 const LONG_LAG_REPORTS: usize = 4;
-/// Weight of a new difference in the running variance.
-const GAIN: f64 = 1.0 / 30.0;
-/// Differences needed before outliers are bounded.
+/// Weight of a new difference in the running variance once many reports have been seen.
+const MIN_GAIN: f64 = 1.0 / 30.0;
+/// Number of differences after which the variance is usable and outliers are bounded.
 const SETTLED_REPORTS: u32 = 20;
-/// A squared difference counts at most this multiple of the present variance.
+/// Maximum ratio of a squared difference to the current variance; larger differences are clipped.
 ///
-/// Without the bound, a sudden change of demand inflates the variance for minutes; the significance
-/// test then keeps the group on a map that no longer fits, visible as skew without a change.
+/// Without the limit, a sudden change of demand inflates the variance for minutes. The significance
+/// test then keeps the group on a map that no longer fits, and skew persists without a change.
 const OUTLIER_RATIO: f64 = 9.0;
-/// Highest correlation of neighbouring reports that is believed.
+/// Upper limit for the estimated correlation of neighbouring reports.
 const MAX_CORRELATION: f64 = 0.9;
-/// Halvings of the interval in which the correlation lies.
+/// Number of bisection steps when solving for the correlation.
 const BISECTIONS: u32 = 16;
 
-/// Noise of the experts of one layer.
+/// A running estimate of the noise in the loads of one layer's experts.
 #[derive(Clone, Debug)]
 pub(crate) struct LayerNoise {
     variance: Vec<f64>,
@@ -43,23 +44,23 @@
         }
     }
 
-    /// Takes loads in tokens a step, averaged over `steps` steps.
+    /// Adds a report's loads in tokens per step, averaged over `steps` steps.
     pub(crate) fn observe(&mut self, loads: &[f64], steps: f64) {
         if self.recent.len() == LONG_LAG_REPORTS {
             self.update(loads, steps);
         }
-        let mut slot = match self.recent.len() == LONG_LAG_REPORTS {
+        let mut buffer = match self.recent.len() == LONG_LAG_REPORTS {
             true => self.recent.pop_front().unwrap_or_default(),
             false => Vec::with_capacity(loads.len()),
         };
-        slot.clear();
-        slot.extend_from_slice(loads);
-        self.recent.push_back(slot);
+        buffer.clear();
+        buffer.extend_from_slice(loads);
+        self.recent.push_back(buffer);
     }
 
     fn update(&mut self, loads: &[f64], steps: f64) {
         self.reports = self.reports.saturating_add(1);
-        let gain = GAIN.max(1.0 / f64::from(self.reports));
+        let gain = MIN_GAIN.max(1.0 / f64::from(self.reports));
         let far = &self.recent[0];
         let near = &self.recent[LONG_LAG_REPORTS - 1];
         let (mut short_sum, mut long_sum) = (0.0, 0.0);
@@ -80,26 +81,28 @@
         self.short_sum += gain * (short_sum - self.short_sum);
     }
 
-    /// Whether enough reports were seen to judge anything.
+    /// Returns whether enough reports were seen for the estimates to be usable.
     pub(crate) fn is_settled(&self) -> bool {
         self.reports >= SETTLED_REPORTS
     }
 
-    /// Variance of one report's load, in square tokens a step; at least that of counting.
+    /// Returns the variance of one report's load, in squared tokens per step. It is at least the
+    /// variance of independent token counts.
     ///
-    /// Half of it comes from the layer as a whole. An expert's own variance rests on few differences
-    /// and is now and then far too small; the significance test would then let noise pass.
+    /// The expert's own variance and one pooled over the layer are averaged. An expert's own
+    /// variance is estimated from few differences and is sometimes far too small, so that noise
+    /// would pass the significance test.
     pub(crate) fn report_variance(&self, expert: usize, load: f64, steps: f64) -> f64 {
         let floor = load.max(1.0) / steps;
         let pooled = floor * self.long_sum / self.variance.len() as f64;
         (pooled.midpoint(self.variance[expert])).max(floor)
     }
 
-    /// How many reports carry as much information as one independent one; at least 1.
+    /// Returns how many reports carry as much information as one independent report; at least 1.
     ///
-    /// Takes noise for a first-order autoregression, for which the variances at lags 1 and 4 are as
-    /// 1 to 1 + r + r^2 + r^3. The result also makes up for the part of the variance that the long
-    /// lag does not show.
+    /// Models noise as a first-order autoregression with correlation r, for which the variances of
+    /// differences at lags 1 and 4 have the ratio 1 to 1 + r + r^2 + r^3. The result also corrects
+    /// for the part of the variance that differences at the long lag do not show.
     pub(crate) fn correlated_reports(&self) -> f64 {
         if self.short_sum <= 0.0 {
             return 1.0;
@@ -110,7 +113,7 @@
     }
 }
 
-/// Solves 1 + r + r^2 + r^3 = `ratio` for r, bounded to what is believed.
+/// Solves 1 + r + r^2 + r^3 = `ratio` for r by bisection between 0 and [`MAX_CORRELATION`].
 fn correlation(ratio: f64) -> f64 {
     let (mut low, mut high) = (0.0, MAX_CORRELATION);
     for _ in 0..BISECTIONS {
--- a/crates/core/src/placement/periodic_policy.rs
+++ b/crates/core/src/placement/periodic_policy.rs
@@ -1,4 +1,4 @@
-//! Baseline: a full repacking at fixed intervals.
+//! A baseline policy that repacks all layers at fixed intervals.
 
 use crate::placement::change::change_between;
 use crate::placement::estimate::LoadEstimator;
@@ -9,10 +9,10 @@
 use crate::placement::shape::GroupShape;
 use crate::time::{Now, UnixMs};
 
-/// Edits by which each layer is evened out after packing.
+/// Maximum number of edits that refine each layer after packing.
 const MAX_EDITS: u32 = 12;
 
-/// Packs all layers anew, whatever it costs.
+/// Repacks all layers at fixed intervals, regardless of cost.
 #[derive(Clone, Debug)]
 pub struct PeriodicPolicy {
     estimator: LoadEstimator,
@@ -21,7 +21,7 @@
 }
 
 impl PeriodicPolicy {
-    /// Repacks every `period_ms`, first at `first_at`.
+    /// Creates a policy that repacks every `period_ms`, for the first time at `first_at`.
     #[must_use]
     pub fn new(shape: GroupShape, period_ms: u64, first_at: UnixMs) -> Self {
         Self { estimator: LoadEstimator::new(shape), period_ms, due_at: first_at }
--- a/crates/core/src/placement/policy.rs
+++ b/crates/core/src/placement/policy.rs
@@ -1,4 +1,4 @@
-//! The border between policies and those who drive them.
+//! The interface between rebalance policies and their callers.
 
 use crate::placement::expert_map::{ExpertMap, WeightLoad};
 use crate::placement::report::{LoadReport, ReportError};
@@ -6,54 +6,56 @@
 
 /// Decides when a group changes its expert map.
 pub trait RebalancePolicy: Send {
-    /// A short name for reports.
+    /// Returns a short name for use in reports.
     fn name(&self) -> &'static str;
 
-    /// Takes a report.
+    /// Updates the policy with a load report.
     ///
     /// # Errors
     ///
-    /// [`ReportError`] when the report is not usable; the policy is then unchanged.
+    /// Returns a [`ReportError`] when the report is unusable; the policy is then unchanged.
     fn observe(&mut self, report: &LoadReport) -> Result<(), ReportError>;
 
-    /// Proposes a change of the present map, or none. It is not called again before the proposal
-    /// is settled.
+    /// Proposes a change of the present map, or returns `None`.
+    ///
+    /// Callers record the outcome of a proposal before they call this again.
     fn propose(&mut self, now: Now, present: &ExpertMap) -> Option<ProposedChange>;
 
-    /// Learns how the last proposal ended.
+    /// Records the outcome of the last proposal.
     fn record_outcome(&mut self, now: Now, outcome: ChangeOutcome);
 }
 
 /// A proposed change of map.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProposedChange {
-    /// The map to be adopted.
+    /// The map to adopt.
     pub target: ExpertMap,
-    /// What ranks load before the map can be adopted.
+    /// The weights that ranks must load before the map can be adopted.
     pub loads: Vec<WeightLoad>,
-    /// What the policy expects of it.
+    /// The effect that the policy predicts.
     pub prediction: Prediction,
 }
 
-/// What a policy expects of a change.
+/// The predicted effect of a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prediction {
-    /// Skew of the present map: slowest less fastest rank as a share of the mean, over layers.
+    /// Skew of the present map: load of the slowest rank minus that of the fastest, as a share of
+    /// the mean, averaged over layers.
     pub skew_before: f64,
-    /// The same of the proposed map.
+    /// Skew of the proposed map, in the same unit.
     pub skew_after: f64,
-    /// Bytes to be loaded.
+    /// Bytes of weights to load.
     pub moved_bytes: u64,
 }
 
-/// How a proposed change ended.
+/// The outcome of a proposed change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// All ranks run the new map.
+    /// All ranks use the new map.
     Adopted {
         /// First step on the new map.
         first_step: u64,
     },
-    /// The group stays on the map that it had.
+    /// The group keeps its previous map.
     Abandoned,
 }
--- a/crates/core/src/placement/search.rs
+++ b/crates/core/src/placement/search.rs
@@ -1,21 +1,22 @@
-//! Small edits of one layer's placement and the skew that each would give.
+//! Searches small edits of one layer's placement by the skew that each would give.
 //!
-//! Edits take load from one of the slowest ranks to one of the fastest: by a further replica, by a
-//! move, by an exchange, or by dropping a replica that others can replace.
+//! An edit shifts load from one of the slowest ranks to one of the fastest: by adding a replica, by
+//! moving an expert, by exchanging two experts, or by dropping a replica of an expert that other
+//! ranks also hold.
 
 use crate::placement::expert_map::LayerPlacement;
 use crate::placement::skew::{SmoothSpread, softness_tokens};
 
-/// Slowest ranks from which load is taken.
-const DONORS: usize = 3;
-/// Fastest ranks to which load is given.
-const ACCEPTORS: usize = 4;
-/// Difference of two ranks' loads, in standard errors, above which it is not taken for noise.
+/// Number of slowest ranks that are tried as sources of load.
+const MAX_DONORS: usize = 3;
+/// Number of fastest ranks that are tried as receivers of load.
+const MAX_ACCEPTORS: usize = 4;
+/// Difference of two ranks' loads, in standard errors, above which it counts as significant.
 ///
-/// A layer of 32 ranks has about a thousand pairs and a group about sixty layers; the extremes of so
-/// many differences reach 4.5 standard errors on noise alone, so a usual threshold of 2 or 3 would
-/// move experts for nothing in most decisions. One would notice loads while demand is steady.
-const SIGNIFICANT_ERRORS: f64 = 6.0;
+/// A layer of 32 ranks has about a thousand pairs and a group about sixty layers. The extremes of
+/// so many differences reach 4.5 standard errors on noise alone, so a common threshold of 2 or 3
+/// would move experts needlessly in most decisions, even while demand is steady.
+const SIGNIFICANCE_THRESHOLD: f64 = 6.0;
 
 /// One expert on one rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,12 +25,13 @@
     pub(crate) rank: u16,
 }
 
-/// A change of a few slots of one layer.
+/// A change of up to four slots of one layer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Edit {
-    /// Filled by loading.
+    /// Slots that are filled; their weights are loaded unless the rank holds them in the present
+    /// map.
     pub(crate) added: [Option<Slot>; 2],
-    /// Given up.
+    /// Slots that are vacated.
     pub(crate) removed: [Option<Slot>; 2],
 }
 
@@ -38,24 +40,24 @@
         self.added.iter().chain(&self.removed).flatten()
     }
 
-    /// Whether an earlier slot of the edit names the same expert.
-    fn names_before(&self, slot: &Slot) -> bool {
+    /// Returns whether an earlier slot of the edit concerns the same expert.
+    fn repeats_expert(&self, slot: &Slot) -> bool {
         let earlier = self.slots().take_while(|other| *other != slot);
         earlier.into_iter().any(|other| other.expert == slot.expert)
     }
 }
 
-/// An edit with what it brings.
+/// An edit with its predicted effect.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Trial {
     pub(crate) edit: Edit,
     /// Reduction of the layer's skew.
     pub(crate) gain: f64,
-    /// Experts to be loaded that the present map does not hold there.
-    pub(crate) loads: u32,
+    /// Number of experts to load, which are those that the rank lacks in the present map.
+    pub(crate) weight_loads: u32,
 }
 
-/// A layer's placement under edit.
+/// A layer's placement while it is being edited.
 #[derive(Clone, Debug)]
 pub(crate) struct LayerSearch<'a> {
     present: &'a LayerPlacement,
@@ -71,8 +73,8 @@
 }
 
 impl<'a> LayerSearch<'a> {
-    /// Starts from the present placement. `error_squares` holds the square of the standard error of
-    /// each rank's load; zeros mean that the loads are known exactly.
+    /// Creates a search that starts from the present placement. `error_squares` holds the squared
+    /// standard error of each rank's load; zeros mean that the loads are exact.
     pub(crate) fn new(
         present: &'a LayerPlacement,
         loads: &'a [f64],
@@ -96,13 +98,13 @@
         }
     }
 
-    /// Skew of the edited placement.
+    /// Returns the predicted skew of the edited placement.
     pub(crate) fn skew(&self) -> f64 {
         if self.mean_tokens > 0.0 { self.spread.value() / self.mean_tokens } else { 0.0 }
     }
 
-    /// Skew that sampling noise leaves when all ranks have the mean load.
-    fn even_skew(&self) -> f64 {
+    /// Returns the skew that sampling noise causes even when all ranks have the mean load.
+    fn balanced_skew(&self) -> f64 {
         let ranks = self.rank_loads.len() as f64;
         2.0 * softness_tokens(self.mean_tokens) * ranks.ln() / self.mean_tokens
     }
@@ -111,33 +113,35 @@
         self.edited
     }
 
-    /// Finds the edit of the highest positive `worth`, which must grow with the gain.
-    pub(crate) fn best(&mut self, worth: impl Fn(&Trial) -> f64) -> Option<Trial> {
+    /// Returns the edit with the highest positive `net_gain`, which must increase with the gain.
+    pub(crate) fn best_trial(&mut self, net_gain: impl Fn(&Trial) -> f64) -> Option<Trial> {
         if self.mean_tokens <= 0.0 {
             return None;
         }
         let skew = self.skew();
-        let even = Trial { edit: Edit::default(), gain: skew - self.even_skew(), loads: 0 };
-        // Most layers are even enough most of the time; trying their edits would cost the agent
-        // several times its processor share for nothing.
-        if worth(&even) <= 0.0 {
+        let balanced =
+            Trial { edit: Edit::default(), gain: skew - self.balanced_skew(), weight_loads: 0 };
+        // Most layers are sufficiently balanced most of the time. Trying their edits would cost the
+        // agent several times its processor share without effect.
+        if net_gain(&balanced) <= 0.0 {
             return None;
         }
-        let mut best = None;
-        let mut best_worth = 0.0;
+        let mut best_trial = None;
+        let mut best_net_gain = 0.0;
         for edit in self.candidates() {
             let after = self.skew_after(&edit);
-            let trial = Trial { edit, gain: skew - after, loads: self.loads_of(&edit) };
-            let trial_worth = worth(&trial);
-            if trial.gain > 0.0 && trial_worth > best_worth {
-                best = Some(trial);
-                best_worth = trial_worth;
+            let trial =
+                Trial { edit, gain: skew - after, weight_loads: self.weight_loads_of(&edit) };
+            let trial_net_gain = net_gain(&trial);
+            if trial.gain > 0.0 && trial_net_gain > best_net_gain {
+                best_trial = Some(trial);
+                best_net_gain = trial_net_gain;
             }
         }
-        best
+        best_trial
     }
 
-    /// Carries out an edit found by [`LayerSearch::best`].
+    /// Applies an edit found by [`LayerSearch::best_trial`].
     pub(crate) fn apply(&mut self, edit: &Edit) {
         for slot in edit.removed.iter().flatten() {
             self.edited.experts_of_rank[usize::from(slot.rank)].retain(|held| *held != slot.expert);
@@ -151,7 +155,7 @@
         self.spread = SmoothSpread::new(&self.rank_loads, softness_tokens(self.mean_tokens));
     }
 
-    fn loads_of(&self, edit: &Edit) -> u32 {
+    fn weight_loads_of(&self, edit: &Edit) -> u32 {
         let is_new = |slot: &&Slot| !self.present.holds(slot.rank, slot.expert);
         edit.added.iter().flatten().filter(is_new).count() as u32
     }
@@ -161,9 +165,9 @@
         let load = |rank: &u16| self.rank_loads[usize::from(*rank)];
         order.sort_by(|left, right| load(right).total_cmp(&load(left)).then(left.cmp(right)));
         let mut edits = Vec::new();
-        for donor in order.iter().take(DONORS) {
+        for donor in order.iter().take(MAX_DONORS) {
             self.add_drops(&mut edits, *donor);
-            for acceptor in order.iter().rev().take(ACCEPTORS) {
+            for acceptor in order.iter().rev().take(MAX_ACCEPTORS) {
                 if self.is_significant(*donor, *acceptor) {
                     self.add_transfers(&mut edits, *donor, *acceptor);
                 }
@@ -176,7 +180,7 @@
         let (donor, acceptor) = (usize::from(donor), usize::from(acceptor));
         let difference = self.rank_loads[donor] - self.rank_loads[acceptor];
         let error = (self.error_squares[donor] + self.error_squares[acceptor]).sqrt();
-        difference > SIGNIFICANT_ERRORS * error
+        difference > SIGNIFICANCE_THRESHOLD * error
     }
 
     fn add_drops(&self, edits: &mut Vec<Edit>, donor: u16) {
@@ -216,15 +220,17 @@
             edits.push(Edit { added: [taken, None], removed: [Some(displaced), None] });
             edits.push(Edit { added: [taken, None], removed: [Some(given), Some(displaced)] });
         }
-        if !self.edited.holds(given.rank, displaced.expert) && self.evens(given, displaced) {
+        if !self.edited.holds(given.rank, displaced.expert)
+            && self.narrows_difference(given, displaced)
+        {
             let returned = Some(Slot { expert: displaced.expert, rank: given.rank });
             let removed = [Some(given), Some(displaced)];
             edits.push(Edit { added: [taken, returned], removed });
         }
     }
 
-    /// Whether an exchange leaves both ranks between their present loads.
-    fn evens(&self, given: Slot, returned: Slot) -> bool {
+    /// Returns whether an exchange leaves the loads of both ranks between their present loads.
+    fn narrows_difference(&self, given: Slot, returned: Slot) -> bool {
         let load = |slot: Slot| self.rank_loads[usize::from(slot.rank)];
         let moved = self.share(given.expert) - self.share(returned.expert);
         moved > 0.0 && moved < load(given) - load(returned)
@@ -238,11 +244,11 @@
     fn skew_after(&mut self, edit: &Edit) -> f64 {
         self.deltas.fill(0.0);
         for slot in edit.slots() {
-            if !edit.names_before(slot) {
+            if !edit.repeats_expert(slot) {
                 self.add_deltas(edit, slot.expert);
             }
         }
-        self.spread.value_with(&self.deltas) / self.mean_tokens
+        self.spread.value_with_deltas(&self.deltas) / self.mean_tokens
     }
 
     fn add_deltas(&mut self, edit: &Edit, expert: u16) {
--- a/crates/core/src/placement/shape.rs
+++ b/crates/core/src/placement/shape.rs
@@ -3,35 +3,35 @@
 use hickorycross_config::ModelGroup;
 use thiserror::Error;
 
-/// Dimensions that every expert map of a group obeys.
+/// The dimensions that every expert map of a group must match.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupShape {
-    /// Ranks that advance in lock-step.
+    /// Number of ranks, which advance in lock-step.
     pub ranks: u16,
-    /// Layers with experts.
+    /// Number of layers that have experts.
     pub layers: u16,
-    /// Experts of each layer.
+    /// Number of experts in each layer.
     pub experts_per_layer: u16,
-    /// Experts of one layer that one rank can hold, replicas included.
+    /// Number of experts of one layer that a rank can hold, replicas included.
     pub expert_slots_per_rank: u16,
     /// Bytes of one expert's weights in one layer.
     pub expert_bytes: u64,
 }
 
-/// Why a group's dimensions admit no expert map.
+/// An error in a group's dimensions for which no expert map exists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ShapeError {
     /// A dimension is zero.
-    #[error("ranks, layers, experts and slots are all at least 1")]
+    #[error("ranks, layers, experts and slots must all be at least 1")]
     Zero,
-    /// The number of ranks does not fit its type.
-    #[error("{ranks} ranks are more than {max}", max = u16::MAX)]
+    /// There are more ranks than a `u16` can number.
+    #[error("{ranks} ranks exceed the maximum of {max}", max = u16::MAX)]
     TooManyRanks {
-        /// Ranks that the document asks for.
+        /// Ranks in the configuration document.
         ranks: usize,
     },
     /// The slots of all ranks hold fewer experts than a layer has.
-    #[error("{slots} slots cannot hold {experts} experts")]
+    #[error("{slots} slots per layer cannot hold {experts} experts")]
     TooFewSlots {
         /// Slots of all ranks in one layer.
         slots: u32,
@@ -41,11 +41,11 @@
 }
 
 impl GroupShape {
-    /// Takes the dimensions from a document's model group.
+    /// Returns the dimensions of a model group in the configuration document.
     ///
     /// # Errors
     ///
-    /// [`ShapeError`] when no expert map exists for these dimensions.
+    /// Returns a [`ShapeError`] when no expert map exists for these dimensions.
     pub fn from_model_group(group: &ModelGroup) -> Result<Self, ShapeError> {
         let ranks = group.backend_servers.len() * usize::from(group.ranks_per_server);
         let shape = Self {
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// [`ShapeError`] when none does.
+    /// Returns a [`ShapeError`] when none does.
     pub fn validate(&self) -> Result<(), ShapeError> {
         let smallest =
             self.ranks.min(self.layers).min(self.experts_per_layer).min(self.expert_slots_per_rank);
@@ -77,7 +77,7 @@
         Ok(())
     }
 
-    /// Slots of all ranks in one layer.
+    /// Returns the number of expert slots of all ranks in one layer.
     #[must_use]
     pub fn slots_per_layer(&self) -> u32 {
         u32::from(self.ranks) * u32::from(self.expert_slots_per_rank)
--- a/crates/core/src/placement/skew.rs
+++ b/crates/core/src/placement/skew.rs
@@ -1,26 +1,29 @@
-//! Predicted skew of a layer: its slowest against its fastest rank.
+//! Predicts the skew of a layer: the difference between its slowest and its fastest rank.
 //!
-//! Even a perfect map shows skew in every step, because the tokens of one step are a sample. The
-//! prediction therefore takes a smooth maximum and minimum whose softness follows that sampling
-//! noise. It counts a rank that is nearly as slow as the slowest, and it shows no gain in evening
-//! out differences that lie within the noise.
+//! Even a perfect map has skew in every step, because the tokens of one step are a random sample.
+//! The prediction therefore uses a smooth maximum and minimum whose softness follows that sampling
+//! noise. It accounts for ranks that are nearly as slow as the slowest, and it predicts no gain
+//! from removing differences within the noise.
 
 use crate::placement::expert_map::LayerPlacement;
 
 /// Softness of the extremes as a share of the standard deviation of one rank's load in one step.
-/// With it the smooth extremes of 8 to 64 equal ranks lie within a tenth of the mean extremes of
-/// as many normal draws.
+///
+/// With this value, the smooth extremes of 8 to 64 equal ranks lie within a tenth of the mean
+/// extremes of as many normal draws.
 const SOFTNESS_PER_DEVIATION: f64 = 0.6;
-/// Least softness as a share of the mean load, which keeps exponents within range.
+/// Minimum softness as a share of the mean load, which keeps the exponents within range.
 const MIN_SOFTNESS: f64 = 0.01;
 
-/// Softness for a mean rank load in tokens a step, if tokens arrive as independent counts.
+/// Returns the softness for a mean rank load in tokens per step, if token counts are independent.
 pub(crate) fn softness_tokens(mean_tokens: f64) -> f64 {
     let softness = SOFTNESS_PER_DEVIATION * mean_tokens.max(0.0).sqrt();
     softness.max(MIN_SOFTNESS * mean_tokens).max(f64::MIN_POSITIVE)
 }
 
-/// The smooth extremes of rank loads, with each rank's terms kept for cheap trials.
+/// The spread between the smooth maximum and minimum of rank loads.
+///
+/// Keeps the terms of each rank, so that trial changes of a few ranks are cheap to evaluate.
 #[derive(Clone, Debug)]
 pub(crate) struct SmoothSpread {
     softness: f64,
@@ -29,7 +32,7 @@
     terms: Vec<RankTerms>,
 }
 
-/// One rank's share in the smooth extremes.
+/// One rank's terms in the sums for the smooth maximum (`peak`) and minimum (`trough`).
 #[derive(Clone, Copy, Debug)]
 struct RankTerms {
     load: f64,
@@ -52,18 +55,19 @@
         RankTerms { load, peak, trough }
     }
 
-    /// The spread in the unit of the loads.
+    /// Returns the spread in the unit of the loads.
     pub(crate) fn value(&self) -> f64 {
         let peak_sum = self.terms.iter().map(|terms| terms.peak).sum();
         let trough_sum = self.terms.iter().map(|terms| terms.trough).sum();
         self.spread(peak_sum, trough_sum)
     }
 
-    /// The spread if each rank's load differed by `deltas`.
+    /// Returns the spread after each rank's load changes by its entry in `deltas`.
     ///
-    /// The sums are formed anew. Subtracting the terms of a very slow rank from a running sum would
-    /// cancel all digits of the others, and the trial would show a gain that does not exist.
-    pub(crate) fn value_with(&self, deltas: &[f64]) -> f64 {
+    /// The sums are recomputed in full. Subtracting the terms of a very slow rank from a running
+    /// sum would cancel all digits of the others, and the trial would show a gain that does not
+    /// exist.
+    pub(crate) fn value_with_deltas(&self, deltas: &[f64]) -> f64 {
         let (mut peak_sum, mut trough_sum) = (0.0, 0.0);
         for (terms, delta) in self.terms.iter().zip(deltas) {
             let terms = if *delta == 0.0 { *terms } else { self.terms_at(terms.load + delta) };
@@ -80,9 +84,10 @@
     }
 }
 
-/// Predicted skew of a layer: slowest less fastest rank as a share of the mean rank.
+/// Returns the predicted skew of a layer: the load of the slowest rank minus that of the fastest,
+/// as a share of the mean.
 ///
-/// `loads` are tokens a step for each expert. A layer without load has no skew.
+/// `loads` holds the tokens per step of each expert. The skew of a layer without load is 0.
 #[must_use]
 pub fn layer_skew(placed: &LayerPlacement, loads: &[f64]) -> f64 {
     let rank_loads = placed.rank_loads(loads);
--- a/crates/core/src/placement/static_policy.rs
+++ b/crates/core/src/placement/static_policy.rs
@@ -1,4 +1,4 @@
-//! Baseline: the map never changes.
+//! A baseline policy that never changes the map.
 
 use crate::placement::expert_map::ExpertMap;
 use crate::placement::policy::{ChangeOutcome, ProposedChange, RebalancePolicy};
--- a/crates/core/src/placement/threshold_policy.rs
+++ b/crates/core/src/placement/threshold_policy.rs
@@ -1,4 +1,4 @@
-//! Baseline: edits whenever predicted skew lies above a fixed threshold.
+//! A baseline policy that edits layers whose predicted skew exceeds a fixed threshold.
 
 use crate::placement::change::change_between;
 use crate::placement::estimate::LoadEstimator;
@@ -10,25 +10,25 @@
 use crate::placement::skew::layer_skew;
 use crate::time::{Now, UnixMs};
 
-/// Edits of one layer in one change.
+/// Maximum number of edits to one layer in one change.
 const EDITS_PER_LAYER: u32 = 4;
 
-/// Evens out each layer whose predicted skew is above a threshold, with a fixed cool-down.
+/// Refines each layer whose predicted skew exceeds a threshold, with a fixed cool-down.
 #[derive(Clone, Debug)]
 pub struct ThresholdPolicy {
     estimator: LoadEstimator,
     threshold: f64,
     cool_down_ms: u64,
-    closed_until: UnixMs,
+    cool_down_ends_at: UnixMs,
 }
 
 impl ThresholdPolicy {
-    /// Acts above a skew of `threshold` (slowest less fastest rank as a share of the mean) and
-    /// waits `cool_down_ms` after each change.
+    /// Creates a policy that acts above a skew of `threshold` (load of the slowest rank minus that
+    /// of the fastest, as a share of the mean) and waits `cool_down_ms` after each change.
     #[must_use]
     pub fn new(shape: GroupShape, threshold: f64, cool_down_ms: u64) -> Self {
         let estimator = LoadEstimator::new(shape);
-        Self { estimator, threshold, cool_down_ms, closed_until: UnixMs::default() }
+        Self { estimator, threshold, cool_down_ms, cool_down_ends_at: UnixMs::default() }
     }
 }
 
@@ -42,7 +42,7 @@
     }
 
     fn propose(&mut self, now: Now, present: &ExpertMap) -> Option<ProposedChange> {
-        if !self.closed_until.is_past(now) || !self.estimator.is_ready(now) {
+        if !self.cool_down_ends_at.is_past(now) || !self.estimator.is_ready(now) {
             return None;
         }
         let mut target = present.clone();
@@ -56,6 +56,6 @@
     }
 
     fn record_outcome(&mut self, now: Now, _outcome: ChangeOutcome) {
-        self.closed_until = now.after(self.cool_down_ms);
+        self.cool_down_ends_at = now.after(self.cool_down_ms);
     }
 }
--- a/crates/core/tests/placement_reports.rs
+++ b/crates/core/tests/placement_reports.rs
@@ -195,7 +195,7 @@
         let before = estimator.loads(0).to_vec();
         expect_that!(estimator.observe(&case.report), err(eq(case.expected)), "{}", case.name);
         expect_that!(estimator.loads(0), eq(before.as_slice()), "{}", case.name);
-        expect_that!(estimator.covered_step(), some(eq(4 * STEPS - 1)), "{}", case.name);
+        expect_that!(estimator.last_covered_step(), some(eq(4 * STEPS - 1)), "{}", case.name);
     }
 }
 
