--- a/crates/core/tests/placement_map.rs
+++ b/crates/core/tests/placement_map.rs
@@ -1,4 +1,4 @@
-//! Invariants of expert maps and of every map that a policy proposes.
+//! Validation of expert maps and group shapes, and invariants of every map that a policy proposes.
 
 use googletest::prelude::*;
 use hickorycross_config::Balance;
@@ -41,9 +41,9 @@
 }
 
 #[gtest]
-fn maps_are_checked() {
+fn expert_map_is_validated() {
     let cases = [
-        MapCase { name: "plain", experts_of_rank: vec![vec![0, 1], vec![2]], expected: Ok(()) },
+        MapCase { name: "valid", experts_of_rank: vec![vec![0, 1], vec![2]], expected: Ok(()) },
         MapCase {
             name: "replica",
             experts_of_rank: vec![vec![0, 1], vec![2, 0]],
@@ -60,17 +60,17 @@
             expected: Err(MapError::Slots { layer: 0, rank: 0, found: 3, slots: 2 }),
         },
         MapCase {
-            name: "repeated",
+            name: "repeated expert",
             experts_of_rank: vec![vec![0, 0], vec![1, 2]],
             expected: Err(MapError::Expert { layer: 0, rank: 0, expert: 0 }),
         },
         MapCase {
-            name: "unknown",
+            name: "unknown expert",
             experts_of_rank: vec![vec![0, 3], vec![1, 2]],
             expected: Err(MapError::Expert { layer: 0, rank: 0, expert: 3 }),
         },
         MapCase {
-            name: "missing",
+            name: "missing expert",
             experts_of_rank: vec![vec![0], vec![2]],
             expected: Err(MapError::Missing { layer: 0, expert: 1 }),
         },
@@ -89,7 +89,7 @@
 }
 
 #[gtest]
-fn shapes_are_checked() {
+fn group_shape_is_validated() {
     let cases = [
         ShapeCase { shape: shape(8, 64, 8), expected: Ok(()) },
         ShapeCase { shape: shape(0, 64, 8), expected: Err(ShapeError::Zero) },
@@ -109,12 +109,11 @@
     proposes: bool,
 }
 
-// Symptom: changes are abandoned again and again, after their weights have been read.
-// Sequence: demand shifts to experts of few ranks; the change that fits best has one server load
-// more than its share of the weight store pays for in time.
-// Cause: a change is bounded as a whole, not by server.
+// Guards against changes that are abandoned repeatedly after their weights were read. Demand shifts
+// to experts of few ranks, and the best change makes one server load more than its share of the
+// weight store covers in time. A limit on the change as a whole does not prevent this.
 #[gtest]
-fn no_server_is_to_load_more_than_it_can() {
+fn proposed_loads_stay_within_the_server_cap() {
     let cases = [
         CapCase { name: "nothing", max_loads: 0, proposes: false },
         CapCase { name: "one", max_loads: 1, proposes: true },
@@ -122,10 +121,10 @@
         CapCase { name: "plenty", max_loads: 100, proposes: true },
     ];
     let shape = shape(8, 32, 6);
-    let even = pack_layer(&shape, &[1.0; 32]);
-    let map = ExpertMap { layers: vec![even; 2] };
+    let uniform = pack_layer(&shape, &[1.0; 32]);
+    let map = ExpertMap { layers: vec![uniform; 2] };
     let demand: Vec<f32> = (0..32).map(|expert| if expert < 4 { 9e4 } else { 1e4 }).collect();
-    let mut most = Vec::new();
+    let mut most_loads_by_case = Vec::new();
     for CapCase { name, max_loads, proposes } in cases {
         let cap = ServerLoadCap { ranks_per_server: 2, max_loads };
         let settings = WeightedPolicySettings {
@@ -142,9 +141,13 @@
         let of = |server| loads.iter().filter(|load| load.rank / 2 == server).count();
         let server_most = (0..4).map(of).max().unwrap_or(0);
         expect_that!(server_most, le(max_loads as usize), "{name}");
-        most.push(server_most);
+        most_loads_by_case.push(server_most);
     }
-    expect_that!(most[3], gt(2), "the caps bind: {most:?}");
+    expect_that!(
+        most_loads_by_case[3],
+        gt(2),
+        "the smaller caps limit the loads: {most_loads_by_case:?}"
+    );
 }
 
 fn policies(shape: GroupShape) -> Vec<Box<dyn RebalancePolicy>> {
@@ -155,6 +158,7 @@
     ]
 }
 
+/// Asserts that a change leads to a valid map and that its loads and bytes match that map.
 fn check_change(shape: &GroupShape, present: &ExpertMap, change: &ProposedChange) {
     assert_eq!(change.target.validate(shape), Ok(()));
     assert_eq!(change.loads, present.weight_loads_for(&change.target));
@@ -189,8 +193,8 @@
     ) {
         for mut policy in policies(shape) {
             let experts = usize::from(shape.experts_per_layer);
-            let even = vec![1.0; experts];
-            let mut map = ExpertMap { layers: vec![pack_layer(&shape, &even); 2] };
+            let uniform = vec![1.0; experts];
+            let mut map = ExpertMap { layers: vec![pack_layer(&shape, &uniform); 2] };
             for index in 0..60u64 {
                 let demand = &demands[index as usize * demands.len() / 60][..experts];
                 policy.observe(&report(index, demand, shape.layers)).expect("well-formed");
@@ -198,12 +202,16 @@
                 let Some(change) = policy.propose(now, &map) else { continue };
                 check_change(&shape, &map, &change);
                 if policy.name() == "weighted" {
-                    let limit = WeightedPolicySettings::MAX_LOADS_PER_LAYER * u32::from(shape.layers);
+                    let limit =
+                        WeightedPolicySettings::MAX_LOADS_PER_LAYER * u32::from(shape.layers);
                     assert!(change.loads.len() <= limit as usize);
                 }
                 if adopts {
                     map = change.target;
-                    policy.record_outcome(now, ChangeOutcome::Adopted { first_step: index * STEPS + 100 });
+                    policy.record_outcome(
+                        now,
+                        ChangeOutcome::Adopted { first_step: index * STEPS + 100 },
+                    );
                 } else {
                     policy.record_outcome(now, ChangeOutcome::Abandoned);
                 }
--- a/crates/core/tests/placement_rebalance.rs
+++ b/crates/core/tests/placement_rebalance.rs
@@ -1,4 +1,4 @@
-//! Evening out the ranks of a group by a bounded number of copies.
+//! Balancing the ranks of a group with a bounded number of weight loads.
 
 use googletest::prelude::*;
 use hickorycross_core::placement::{
@@ -10,20 +10,20 @@
 const RANKS: u16 = 12;
 const EXPERTS: u16 = 72;
 const LAYERS: u16 = 4;
-const SETTINGS: RebalanceLimits = RebalanceLimits {
+const LIMITS: RebalanceLimits = RebalanceLimits {
     slots_per_rank: 8,
     max_new_per_rank_and_layer: 3,
     max_new_per_rank: 5,
     target_imbalance: 1.08,
 };
 
-fn in_turn() -> ExpertMap {
+fn round_robin_map() -> ExpertMap {
     let of_rank = |rank| (0..EXPERTS).filter(|expert| expert % RANKS == rank).collect();
     let layer = LayerPlacement { experts_of_rank: (0..RANKS).map(of_rank).collect() };
     ExpertMap { layers: vec![layer; usize::from(LAYERS)] }
 }
 
-/// Loads whose hottest experts carry several times the mean, as seen on model groups.
+/// Returns loads whose hottest experts carry several times the mean, as in real model groups.
 fn loads(seed: u64) -> Vec<Vec<f64>> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut layer = || {
@@ -37,34 +37,34 @@
     (0..LAYERS).map(|_| layer()).collect()
 }
 
-fn even(loads: &[Vec<f64>]) -> f64 {
+fn balanced_load(loads: &[Vec<f64>]) -> f64 {
     loads.iter().flatten().sum::<f64>() / f64::from(RANKS)
 }
 
 struct Case {
     name: &'static str,
     slow_rank: Option<(usize, f64)>,
-    settings: RebalanceLimits,
-    /// Bottleneck after one change, against an even load.
-    most_after: f64,
+    limits: RebalanceLimits,
+    /// Maximum ratio of the bottleneck after one rebalance to a perfectly balanced load.
+    max_bottleneck_ratio: f64,
 }
 
-/// One change brings the bottleneck near an even load, within the bounds of copies.
+/// One rebalance brings the bottleneck near a balanced load, within the limits on weight loads.
 #[gtest]
-fn one_change_evens_out_within_its_bounds() {
+fn one_rebalance_balances_ranks_within_its_limits() {
     let cases = [
-        Case { name: "usual", slow_rank: None, settings: SETTINGS, most_after: 1.35 },
+        Case { name: "usual", slow_rank: None, limits: LIMITS, max_bottleneck_ratio: 1.35 },
         Case {
-            name: "few copies",
+            name: "few weight loads",
             slow_rank: None,
-            settings: RebalanceLimits { max_new_per_rank: 2, ..SETTINGS },
-            most_after: 2.0,
+            limits: RebalanceLimits { max_new_per_rank: 2, ..LIMITS },
+            max_bottleneck_ratio: 2.0,
         },
         Case {
             name: "a slow rank",
             slow_rank: Some((3, 4.0)),
-            settings: RebalanceLimits { max_new_per_rank: 12, ..SETTINGS },
-            most_after: 1.6,
+            limits: RebalanceLimits { max_new_per_rank: 12, ..LIMITS },
+            max_bottleneck_ratio: 1.6,
         },
     ];
     let shape = GroupShape {
@@ -76,26 +76,26 @@
     };
     for case in cases {
         for seed in 0..20 {
-            let (present, loads) = (in_turn(), loads(seed));
-            let mut paces = vec![1.0; usize::from(RANKS)];
-            if let Some((rank, pace)) = case.slow_rank {
-                paces[rank] = pace;
+            let (present, loads) = (round_robin_map(), loads(seed));
+            let mut slowdowns = vec![1.0; usize::from(RANKS)];
+            if let Some((rank, slowdown)) = case.slow_rank {
+                slowdowns[rank] = slowdown;
             }
-            let map = rebalance_map(&present, &loads, &paces, &case.settings);
+            let map = rebalance_map(&present, &loads, &slowdowns, &case.limits);
             expect_that!(map.validate(&shape), ok(anything()), "{} seed {seed}", case.name);
-            let after = bottleneck_load(&map, &loads, &paces) / even(&loads);
-            expect_that!(after, le(case.most_after), "{} seed {seed}", case.name);
-            let copies = present.weight_loads_for(&map);
+            let after = bottleneck_load(&map, &loads, &slowdowns) / balanced_load(&loads);
+            expect_that!(after, le(case.max_bottleneck_ratio), "{} seed {seed}", case.name);
+            let weight_loads = present.weight_loads_for(&map);
             for rank in 0..RANKS {
-                let of_rank = copies.iter().filter(|copy| copy.rank == rank);
+                let of_rank = weight_loads.iter().filter(|load| load.rank == rank);
                 expect_that!(
                     of_rank.clone().count(),
-                    le(usize::from(case.settings.max_new_per_rank)),
+                    le(usize::from(case.limits.max_new_per_rank)),
                     "{} seed {seed}",
                     case.name
                 );
                 for layer in 0..LAYERS {
-                    let of_layer = of_rank.clone().filter(|copy| copy.layer == layer).count();
+                    let of_layer = of_rank.clone().filter(|load| load.layer == layer).count();
                     expect_that!(of_layer, le(3), "{} seed {seed}", case.name);
                 }
             }
@@ -103,11 +103,11 @@
     }
 }
 
-/// An even map is left as it is.
+/// A balanced map is returned unchanged.
 #[gtest]
-fn an_even_map_is_left_alone() {
+fn balanced_map_is_unchanged() {
     let loads = vec![vec![100.0; usize::from(EXPERTS)]; usize::from(LAYERS)];
-    let paces = vec![1.0; usize::from(RANKS)];
-    let map = rebalance_map(&in_turn(), &loads, &paces, &SETTINGS);
-    expect_that!(map, eq(&in_turn()));
+    let slowdowns = vec![1.0; usize::from(RANKS)];
+    let map = rebalance_map(&round_robin_map(), &loads, &slowdowns, &LIMITS);
+    expect_that!(map, eq(&round_robin_map()));
 }
--- a/crates/core/tests/placement_reports.rs
+++ b/crates/core/tests/placement_reports.rs
@@ -1,4 +1,4 @@
-//! Lagging, missing and malformed reports, and demand that is nothing but noise.
+//! Policy decisions on late, missing, malformed and noisy load reports.
 
 use googletest::prelude::*;
 use hickorycross_config::Balance;
@@ -20,7 +20,7 @@
     expert_slots_per_rank: 5,
     expert_bytes: 1 << 20,
 };
-/// Moves are nearly free, so that only the significance of a gain can hold them back.
+/// Weight loads are nearly free, so that only the significance test can prevent a change.
 const BALANCE: Balance =
     Balance { skew_weight: 100.0, rebalance_cost_weight: 0.01, weight_store_bytes_per_s: 1 << 34 };
 
@@ -42,14 +42,14 @@
     }
 }
 
-/// Loads in which one expert is hot, without noise.
-fn hot(index: u64, hot_expert: usize) -> LoadReport {
+/// Returns a report without noise in which one expert has six times the load of the others.
+fn hot_expert_report(index: u64, hot_expert: usize) -> LoadReport {
     let mut loads = vec![10_000.0; 32];
     loads[hot_expert] = 60_000.0;
     report(index, vec![loads; 3])
 }
 
-/// The moment at which a report arrives.
+/// Returns the time at which a report arrives.
 fn arrival(index: u64) -> Now {
     Now::at((index + 2) * REPORT_MS)
 }
@@ -71,31 +71,31 @@
     name: &'static str,
     /// Relative standard deviation of a report's load.
     deviation: f64,
-    /// Share of the noise that a report has in common with the one before.
-    kept: f64,
+    /// Correlation of the noise of successive reports.
+    correlation: f64,
 }
 
-// Symptom: experts are loaded to and fro while demand is steady.
-// Sequence: every expert has the same popularity; reports differ by noise, independent or lasting
-// over several reports; some expert always looks hot.
-// Cause: the largest of many noisy differences is taken for a difference of demand.
+// Guards against experts that are moved back and forth while demand is steady. All experts are
+// equally popular, but reports differ by independent or correlated noise, so that some expert
+// always looks hot. The largest of many noisy differences must not count as a difference of demand.
 #[gtest]
-fn nothing_moves_on_noise() {
+fn noise_alone_proposes_no_change() {
     let cases = [
-        NoiseCase { name: "counting", deviation: 0.01, kept: 0.0 },
-        NoiseCase { name: "overdispersed", deviation: 0.1, kept: 0.0 },
-        NoiseCase { name: "lasting", deviation: 0.05, kept: 0.7 },
-        NoiseCase { name: "coarse", deviation: 0.3, kept: 0.3 },
+        NoiseCase { name: "counting", deviation: 0.01, correlation: 0.0 },
+        NoiseCase { name: "overdispersed", deviation: 0.1, correlation: 0.0 },
+        NoiseCase { name: "correlated", deviation: 0.05, correlation: 0.7 },
+        NoiseCase { name: "coarse", deviation: 0.3, correlation: 0.3 },
     ];
     for case in cases {
-        // Of 200 seeds tried, 60 and 76 came closest to a change.
+        // Seeds 60 and 76 come closest to a change among 200 seeds.
         for seed in 60..80 {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
             let mut noise = vec![vec![0.0; 32]; 3];
             let mut reports = |index| {
                 for value in noise.iter_mut().flatten() {
                     let draw: f64 = StandardNormal.sample(&mut rng);
-                    *value = case.kept * *value + (1.0 - case.kept * case.kept).sqrt() * draw;
+                    *value = case.correlation * *value
+                        + (1.0 - case.correlation * case.correlation).sqrt() * draw;
                 }
                 let load =
                     |value: &f64| (20_000.0 * (1.0 + case.deviation * value)).max(0.0) as f32;
@@ -113,7 +113,11 @@
 #[gtest]
 fn hot_expert_is_replicated() {
     let map = even_map();
-    let change = first_change(&mut policy(), &map, (0..30).map(|index| (index, hot(index, 5))));
+    let change = first_change(
+        &mut policy(),
+        &map,
+        (0..30).map(|index| (index, hot_expert_report(index, 5))),
+    );
     let change = change.expect("a hot expert is worth a replica");
     let replicas = change.target.layers[0].replicas(32);
     expect_that!(replicas[5], gt(1));
@@ -123,16 +127,16 @@
 struct WeightCase {
     skew_weight: f64,
     rebalance_cost_weight: f64,
-    moves: bool,
+    proposes: bool,
 }
 
 #[gtest]
-fn weights_decide_whether_a_gain_pays() {
+fn balance_weights_decide_whether_a_change_is_proposed() {
     let cases = [
-        WeightCase { skew_weight: 0.0, rebalance_cost_weight: 0.0, moves: false },
-        WeightCase { skew_weight: 1.0, rebalance_cost_weight: 0.0, moves: true },
-        WeightCase { skew_weight: 1.0, rebalance_cost_weight: 1.0, moves: true },
-        WeightCase { skew_weight: 0.001, rebalance_cost_weight: 100.0, moves: false },
+        WeightCase { skew_weight: 0.0, rebalance_cost_weight: 0.0, proposes: false },
+        WeightCase { skew_weight: 1.0, rebalance_cost_weight: 0.0, proposes: true },
+        WeightCase { skew_weight: 1.0, rebalance_cost_weight: 1.0, proposes: true },
+        WeightCase { skew_weight: 0.001, rebalance_cost_weight: 100.0, proposes: false },
     ];
     for case in cases {
         let balance = Balance {
@@ -141,49 +145,57 @@
             weight_store_bytes_per_s: 1 << 24,
         };
         let mut policy = WeightedPolicy::new(SHAPE, &WeightedPolicySettings::new(balance));
-        let reports = (0..60).map(|index| (index, hot(index, 5)));
+        let reports = (0..60).map(|index| (index, hot_expert_report(index, 5)));
         let change = first_change(&mut policy, &even_map(), reports);
         let (skew, cost) = (case.skew_weight, case.rebalance_cost_weight);
-        expect_that!(change.is_some(), eq(case.moves), "skew {skew}, cost {cost}");
+        expect_that!(change.is_some(), eq(case.proposes), "skew {skew}, cost {cost}");
     }
 }
 
-struct FaultCase {
+struct InvalidReportCase {
     name: &'static str,
     report: LoadReport,
     expected: ReportError,
 }
 
-// Symptom: estimates look surer than they are, and experts move on few reports.
-// Sequence: a report arrives twice, after a newer one, overlapping, or damaged.
-// Cause: steps counted twice, or numbers that are no loads.
+// Guards against estimates that look more certain than they are, so that experts move on few
+// reports. A report is repeated, reordered, overlapping or malformed; its steps must not count
+// twice.
 #[gtest]
-fn unusable_reports_change_nothing() {
+fn unusable_report_leaves_the_estimate_unchanged() {
     let covered = |last_step| ReportError::Covered { last_step, covered: 4 * STEPS - 1 };
     let cases = [
-        FaultCase { name: "repeated", report: hot(3, 1), expected: covered(4 * STEPS - 1) },
-        FaultCase { name: "overtaken", report: hot(2, 1), expected: covered(3 * STEPS - 1) },
-        FaultCase {
+        InvalidReportCase {
+            name: "repeated",
+            report: hot_expert_report(3, 1),
+            expected: covered(4 * STEPS - 1),
+        },
+        InvalidReportCase {
+            name: "reordered",
+            report: hot_expert_report(2, 1),
+            expected: covered(3 * STEPS - 1),
+        },
+        InvalidReportCase {
             name: "overlapping",
-            report: LoadReport { last_step: 5 * STEPS, ..hot(3, 1) },
+            report: LoadReport { last_step: 5 * STEPS, ..hot_expert_report(3, 1) },
             expected: covered(5 * STEPS),
         },
-        FaultCase {
+        InvalidReportCase {
             name: "backwards",
-            report: LoadReport { last_step: 0, ..hot(9, 1) },
+            report: LoadReport { last_step: 0, ..hot_expert_report(9, 1) },
             expected: ReportError::Backwards { last_step: 0 },
         },
-        FaultCase {
-            name: "layers",
+        InvalidReportCase {
+            name: "wrong number of layers",
             report: report(9, vec![vec![1.0; 32]; 2]),
             expected: ReportError::Dimensions { layer: 2 },
         },
-        FaultCase {
-            name: "experts",
+        InvalidReportCase {
+            name: "wrong number of experts",
             report: report(9, vec![vec![1.0; 32], vec![1.0; 31], vec![1.0; 32]]),
             expected: ReportError::Dimensions { layer: 1 },
         },
-        FaultCase {
+        InvalidReportCase {
             name: "not a number",
             report: report(9, vec![vec![1.0; 32], vec![1.0; 32], vec![f32::NAN; 32]]),
             expected: ReportError::Load { layer: 2 },
@@ -191,7 +203,9 @@
     ];
     for case in cases {
         let mut estimator = LoadEstimator::new(SHAPE);
-        (0..4).for_each(|index| estimator.observe(&hot(index, 0)).expect("well-formed"));
+        (0..4).for_each(|index| {
+            estimator.observe(&hot_expert_report(index, 0)).expect("well-formed");
+        });
         let before = estimator.loads(0).to_vec();
         expect_that!(estimator.observe(&case.report), err(eq(case.expected)), "{}", case.name);
         expect_that!(estimator.loads(0), eq(before.as_slice()), "{}", case.name);
@@ -199,58 +213,54 @@
     }
 }
 
-// Symptom: right after a gap in the reports a group changes its map, and soon changes it back.
-// Sequence: reports show a hot expert, then none arrive for minutes while decisions are still asked
-// for; the process may also have slept.
-// Cause: old reports are taken for the present demand.
+// Guards against a change right after a gap in the reports that is soon undone. Reports show a hot
+// expert, then none arrive for a minute, for instance because the process was suspended. Stale
+// reports must not count as present demand.
 #[gtest]
-fn nothing_moves_on_old_reports() {
+fn stale_reports_propose_no_change() {
     let mut policy = policy();
     let map = even_map();
     for index in 0..30 {
-        policy.observe(&hot(index, 5)).expect("well-formed");
+        policy.observe(&hot_expert_report(index, 5)).expect("well-formed");
     }
     let last = arrival(29).unix_ms;
     expect_that!(policy.propose(Now { unix_ms: last.after(60_000) }, &map), none());
     expect_that!(policy.propose(Now { unix_ms: last }, &map), some(anything()));
 }
 
-// Symptom: a group keeps an uneven map although demand has been steady for long.
-// Sequence: two of three reports are lost; the others arrive.
-// Cause: a gap counted as a lasting fault of the reports.
+// Guards against a group that keeps an uneven map under steady demand because two of three reports
+// are lost and each gap counts as a permanent failure.
 #[gtest]
-fn missing_reports_only_delay() {
+fn missing_reports_only_delay_a_change() {
     let map = even_map();
-    let reports = (0..90).step_by(3).map(|index| (index, hot(index, 5)));
+    let reports = (0..90).step_by(3).map(|index| (index, hot_expert_report(index, 5)));
     expect_that!(first_change(&mut policy(), &map, reports), some(anything()));
 }
 
-// Symptom: after a sudden change of demand a group follows the old demand for a minute.
-// Sequence: one expert is hot for long, then another; reports show it at once.
-// Cause: a long window averages over the change.
+// Guards against a group that follows the old demand for a minute after a sudden change, because a
+// long window averages over it. One expert is hot for long, then another.
 #[gtest]
 fn sudden_change_restarts_the_window() {
     let mut estimator = LoadEstimator::new(SHAPE);
     for index in 0..100 {
-        estimator.observe(&hot(index, 5)).expect("well-formed");
+        estimator.observe(&hot_expert_report(index, 5)).expect("well-formed");
     }
     for index in 100..103 {
-        estimator.observe(&hot(index, 9)).expect("well-formed");
+        estimator.observe(&hot_expert_report(index, 9)).expect("well-formed");
     }
     expect_that!(estimator.loads(0)[5], approx_eq(50.0));
     expect_that!(estimator.loads(0)[9], approx_eq(300.0));
 }
 
-// Symptom: the same loads are asked of a failing weight store every few seconds.
-// Sequence: a change is proposed and abandoned, again and again.
-// Cause: a cool-down that does not grow with failures.
+// Guards against requesting the same loads from a failing weight store every few seconds, with a
+// cool-down that does not grow when changes are abandoned repeatedly.
 #[gtest]
 fn abandoned_changes_lengthen_the_cool_down() {
     let mut policy = policy();
     let map = even_map();
     let mut proposed_at = Vec::new();
     for index in 0..600 {
-        policy.observe(&hot(index, 5)).expect("well-formed");
+        policy.observe(&hot_expert_report(index, 5)).expect("well-formed");
         if policy.propose(arrival(index), &map).is_some() {
             proposed_at.push(index);
             policy.record_outcome(arrival(index), ChangeOutcome::Abandoned);
@@ -264,9 +274,9 @@
     );
 }
 
-// Symptom: a group changes its map over and over and its skew never falls.
-// Sequence: each time that the group has made room for a hot expert, another becomes hot.
-// Cause: predictions that never come true do not slow the policy down.
+// Guards against a group that changes its map continually without reducing skew. Each time that the
+// group has adapted to a hot expert, another becomes hot. Predictions that fail must slow the
+// policy.
 #[gtest]
 fn unrealised_gains_lengthen_the_cool_down() {
     let mut policy = policy();
@@ -274,7 +284,7 @@
     let mut changed_at = Vec::new();
     for index in 0..3_000 {
         let hot_expert = changed_at.len() * 5 % 32;
-        policy.observe(&hot(index, hot_expert)).expect("well-formed");
+        policy.observe(&hot_expert_report(index, hot_expert)).expect("well-formed");
         if let Some(change) = policy.propose(arrival(index), &map) {
             map = change.target;
             let first_step = (index + 1) * STEPS;
--- a/crates/core/tests/placement_spans.rs
+++ b/crates/core/tests/placement_spans.rs
@@ -1,5 +1,4 @@
-//! Loads of one group's engines are put together although their agents read them at different
-//! moments.
+//! Merging the loads of a group's engines whose agents read them at different times.
 
 use googletest::prelude::*;
 use hickorycross_core::Now;
@@ -19,23 +18,23 @@
     }
 }
 
-// Symptom: a group never rebalances, although its load drifts.
-// Sequence: three agents read their engines' windows half a second apart, several windows at once.
-// Cause: each passed on the latest window that it found, and the three were seldom the same.
+// Guards against a group that never rebalances although its load drifts. Three agents read their
+// engines' windows half a second apart, several windows at once. If each forwarded the latest
+// window that it finds, the three would rarely match.
 #[gtest]
-fn spans_of_all_engines_coincide_whoever_reads_when() {
+fn spans_of_all_engines_match_regardless_of_read_times() {
     let mut collector = LoadCollector::new(ENGINES);
     let mut reports = Vec::new();
     let mut builders: Vec<_> = (0..ENGINES).map(|_| SpanBuilder::default()).collect();
-    let mut read: Vec<u64> = vec![0; usize::from(ENGINES)];
-    for moment in 1..=60_u64 {
-        let engine = usize::try_from(moment).expect("a number") % usize::from(ENGINES);
-        for number in read[engine]..moment {
+    let mut next_window: Vec<u64> = vec![0; usize::from(ENGINES)];
+    for time in 1..=60_u64 {
+        let engine = usize::try_from(time).expect("a number") % usize::from(ENGINES);
+        for number in next_window[engine]..time {
             let first_rank = u16::try_from(engine).expect("a rank");
             let span = builders[engine].push(window(first_rank, number));
-            reports.extend(span.and_then(|span| collector.add(Now::at(moment), span)));
+            reports.extend(span.and_then(|span| collector.add(Now::at(time), span)));
         }
-        read[engine] = moment;
+        next_window[engine] = time;
     }
     expect_that!(reports.len(), ge(4));
     for report in &reports[1..] {
@@ -45,11 +44,11 @@
     }
 }
 
-// Symptom: experts look idle that are busy.
-// Sequence: an agent misses windows and goes on with a later one.
-// Cause: a span that spans a gap; it is begun anew instead, and never matches those of others.
+// Guards against busy experts that look idle because a span covers a gap. An agent misses windows
+// and continues with a later one; the new span that it starts does not match those of other
+// engines.
 #[gtest]
-fn a_gap_begins_a_new_span() {
+fn gap_starts_a_new_span() {
     let mut builder = SpanBuilder::default();
     expect_that!(builder.push(window(0, 0)), none());
     let spans: Vec<_> = (3..12).filter_map(|number| builder.push(window(0, number))).collect();
--- a/crates/core/tests/placement_weight_loader.rs
+++ b/crates/core/tests/placement_weight_loader.rs
@@ -1,4 +1,4 @@
-//! Failures of background loads.
+//! Pacing, retries and abandonment of weight loads.
 
 use googletest::prelude::*;
 use hickorycross_core::placement::{
@@ -9,10 +9,10 @@
 
 const VERSION: u64 = 7;
 const GIVE_UP_AT: UnixMs = UnixMs(600_000);
-/// A fair share pays for one expert in a tenth of a second.
+/// An agent's fair share covers one expert in a tenth of a second.
 const SETTINGS: WeightLoaderSettings =
     WeightLoaderSettings { store_bytes_per_s: 1_000_000, agents: 10, expert_bytes: 10_000 };
-const TURN_MS: u64 = 100;
+const LOAD_INTERVAL_MS: u64 = 100;
 
 fn load(expert: u16) -> WeightLoad {
     WeightLoad { layer: 0, expert, rank: 3 }
@@ -22,7 +22,7 @@
     WeightLoadKey { map_version: VERSION, load: load(expert) }
 }
 
-fn started(loads: &[WeightLoad]) -> WeightLoader {
+fn loader_with_first_load_running(loads: &[WeightLoad]) -> WeightLoader {
     let mut loader = WeightLoader::new(SETTINGS, 1);
     let actions = loader.begin(Now::at(0), VERSION, loads, GIVE_UP_AT);
     assert_eq!(
@@ -33,16 +33,16 @@
 }
 
 #[gtest]
-fn loads_keep_to_the_fair_share() {
-    let mut loader = started(&[load(0), load(1)]);
+fn loads_are_spaced_by_the_fair_share() {
+    let mut loader = loader_with_first_load_running(&[load(0), load(1)]);
     expect_that!(loader.handle(Now::at(1), WeightLoadEvent::Loaded(key(0))), is_empty());
-    expect_that!(loader.next_at(), eq(UnixMs(TURN_MS)));
-    expect_that!(loader.tick(Now::at(TURN_MS - 1)), is_empty());
+    expect_that!(loader.next_at(), eq(UnixMs(LOAD_INTERVAL_MS)));
+    expect_that!(loader.tick(Now::at(LOAD_INTERVAL_MS - 1)), is_empty());
     expect_that!(
-        loader.tick(Now::at(TURN_MS)),
+        loader.tick(Now::at(LOAD_INTERVAL_MS)),
         elements_are![eq(&WeightLoadAction::Start(key(1)))]
     );
-    let ready = loader.handle(Now::at(TURN_MS + 1), WeightLoadEvent::Loaded(key(1)));
+    let ready = loader.handle(Now::at(LOAD_INTERVAL_MS + 1), WeightLoadEvent::Loaded(key(1)));
     expect_that!(ready, elements_are![eq(&WeightLoadAction::Ready { map_version: VERSION })]);
     expect_that!(loader.state(), eq(WeightLoaderState::Ready { map_version: VERSION }));
     expect_that!(loader.tick(Now::at(GIVE_UP_AT.0)), is_empty());
@@ -59,30 +59,28 @@
 
 struct AbandonCase {
     name: &'static str,
-    /// Applied after the first of three loads is in place and the second runs.
-    then: fn(&mut WeightLoader) -> Vec<WeightLoadAction>,
+    /// Runs when the first of three loads is done and the second is running.
+    abandon: fn(&mut WeightLoader) -> Vec<WeightLoadAction>,
     cause: AbandonCause,
     /// Whether the second load is still running when the change is abandoned.
     is_running: bool,
 }
 
-// Symptom: a group stays on half a change: some ranks keep weights that no map uses, and the next
-// change finds no room.
-// Sequence: the first load is in place, the second runs, the third waits; then the second fails,
-// hangs, the whole change runs out of time, or the coordinator gives up.
-// Cause: giving up without undoing what was done so far.
+// Guards against abandoned changes that leave loaded weights behind, so that the next change lacks
+// room. The first load is done, the second running and the third waiting when the second fails or
+// hangs, the change expires, or the coordinator withdraws it.
 #[gtest]
 fn abandoned_change_is_undone() {
     let cases = [
         AbandonCase {
             name: "failed",
-            then: |loader| loader.handle(Now::at(150), WeightLoadEvent::Failed(key(1))),
+            abandon: |loader| loader.handle(Now::at(150), WeightLoadEvent::Failed(key(1))),
             cause: AbandonCause::Failed,
             is_running: true,
         },
         AbandonCase {
-            name: "slow",
-            then: |loader| {
+            name: "late",
+            abandon: |loader| {
                 let late_at = loader.next_at();
                 assert_eq!(loader.tick(Now::at(late_at.0 - 1)), []);
                 loader.tick(Now { unix_ms: late_at })
@@ -91,8 +89,8 @@
             is_running: true,
         },
         AbandonCase {
-            name: "out of time",
-            then: |loader| {
+            name: "expired",
+            abandon: |loader| {
                 loader.handle(Now::at(150), WeightLoadEvent::Refused(key(1)));
                 loader.tick(Now { unix_ms: GIVE_UP_AT })
             },
@@ -101,44 +99,42 @@
         },
         AbandonCase {
             name: "withdrawn",
-            then: WeightLoader::withdraw,
+            abandon: WeightLoader::withdraw,
             cause: AbandonCause::Withdrawn,
             is_running: true,
         },
     ];
     for case in cases {
-        let mut loader = started(&[load(0), load(1), load(2)]);
+        let mut loader = loader_with_first_load_running(&[load(0), load(1), load(2)]);
         loader.handle(Now::at(1), WeightLoadEvent::Loaded(key(0)));
-        loader.tick(Now::at(TURN_MS));
+        loader.tick(Now::at(LOAD_INTERVAL_MS));
         let mut expected = vec![WeightLoadAction::Discard(key(0))];
         expected.extend(case.is_running.then_some(WeightLoadAction::Cancel(key(1))));
         expected.push(WeightLoadAction::Abandon { map_version: VERSION, cause: case.cause });
-        expect_that!((case.then)(&mut loader), eq(&expected), "{}", case.name);
+        expect_that!((case.abandon)(&mut loader), eq(&expected), "{}", case.name);
         expect_that!(loader.state(), eq(WeightLoaderState::Idle), "{}", case.name);
         expect_that!(loader.next_at(), eq(UnixMs::NEVER), "{}", case.name);
     }
 }
 
-// Symptom: a rank runs out of slots though its map leaves room.
-// Sequence: a load is cancelled with its change; its weights arrive all the same, during no change
-// or during the next one.
-// Cause: an answer that belongs to no present change was ignored.
+// Guards against a rank that runs out of slots because of unused weights. A load is cancelled with
+// its change but completes anyway, while there is no change or during the next one.
 #[gtest]
 fn weights_of_an_abandoned_change_are_freed() {
-    let mut loader = started(&[load(0)]);
+    let mut loader = loader_with_first_load_running(&[load(0)]);
     loader.withdraw();
-    let stray = loader.handle(Now::at(5), WeightLoadEvent::Loaded(key(0)));
-    expect_that!(stray, elements_are![eq(&WeightLoadAction::Discard(key(0)))]);
+    let actions = loader.handle(Now::at(5), WeightLoadEvent::Loaded(key(0)));
+    expect_that!(actions, elements_are![eq(&WeightLoadAction::Discard(key(0)))]);
     loader.begin(Now::at(500), VERSION + 1, &[load(0)], GIVE_UP_AT);
-    let stray = loader.handle(Now::at(501), WeightLoadEvent::Loaded(key(0)));
-    expect_that!(stray, elements_are![eq(&WeightLoadAction::Discard(key(0)))]);
+    let actions = loader.handle(Now::at(501), WeightLoadEvent::Loaded(key(0)));
+    expect_that!(actions, elements_are![eq(&WeightLoadAction::Discard(key(0)))]);
     let loading = WeightLoaderState::Loading { map_version: VERSION + 1, outstanding: 1 };
     expect_that!(loader.state(), eq(loading));
     expect_that!(loader.handle(Now::at(502), WeightLoadEvent::Failed(key(0))), is_empty());
     expect_that!(loader.state(), eq(loading));
 }
 
-/// A store that others keep busy at first and that then grants loads at its rate over a second.
+/// A store that refuses all loads until `busy_until` and then grants `loads_per_s` in any second.
 struct FakeStore {
     busy_until: UnixMs,
     loads_per_s: usize,
@@ -156,7 +152,7 @@
     }
 }
 
-/// Runs a loader against the store for one moment.
+/// Ticks a loader once and lets the store answer the load that it starts.
 fn advance(loader: &mut WeightLoader, store: &mut FakeStore, now: Now) {
     for action in loader.tick(now) {
         if let WeightLoadAction::Start(key) = action {
@@ -165,12 +161,11 @@
     }
 }
 
-// Symptom: one agent's change never ends while others' do.
-// Sequence: all agents begin at once; others keep the store busy for minutes, so that each agent is
-// refused dozens of times; then the store has half of its rate to spare.
-// Cause: a back-off that only grows loses its turn to whoever asks more often.
+// Guards against starvation of one agent. All agents start at once and are refused dozens of times
+// while others keep the store busy for minutes; then half of its rate is free. With a back-off that
+// only grows, an agent would lose this capacity to agents that retry more often.
 #[gtest]
-fn refused_loads_get_their_turn() {
+fn refused_loads_finish_once_the_store_has_capacity() {
     const BUSY_UNTIL: UnixMs = UnixMs(200_000);
     const END_MS: u64 = BUSY_UNTIL.0 + 5_000;
     const STEP_MS: usize = 10;
@@ -193,11 +188,10 @@
     }
 }
 
-// Symptom: two runs of one recorded fault differ.
-// Sequence: the same loads are refused at the same moments, twice.
-// Cause: jitter from a source that the seed does not fix.
+// Guards against replays of a recorded failure that differ from the original run, because jitter
+// comes from a source that the seed does not determine.
 #[gtest]
-fn waits_repeat_with_the_seed() {
+fn back_off_waits_are_determined_by_the_seed() {
     let waits = |seed: u64| {
         let mut loader = WeightLoader::new(SETTINGS, seed);
         let mut now = Now::at(0);
@@ -213,6 +207,6 @@
     };
     expect_that!(waits(1), eq(&waits(1)));
     expect_that!(waits(1), not(eq(&waits(2))));
-    expect_that!(waits(1)[20..], each(le(&TURN_MS)));
-    expect_that!(waits(1), each(le(&(32 * TURN_MS))));
+    expect_that!(waits(1)[20..], each(le(&LOAD_INTERVAL_MS)));
+    expect_that!(waits(1), each(le(&(32 * LOAD_INTERVAL_MS))));
 }
