--- a/crates/core/src/adoption/exchange.rs
+++ b/crates/core/src/adoption/exchange.rs
@@ -4,8 +4,8 @@
 //! the sender for the bytes; whoever is ahead says so. A process that adopts a document announces
 //! it on all its links at once, so that a change runs through the fleet in a few round trips.
 
+use super::conflicts::{Rivals, Step};
 use super::order::{Adoption, InForce, Outcome, Published};
-use super::rivals::{Rivals, Step};
 use crate::audit::AuditRecord;
 use crate::ids::LinkId;
 use crate::time::{Now, UnixMs};
@@ -27,7 +27,7 @@
         document: Arc<Document>,
     },
     /// A peer holds this document under the very revision that is in force here.
-    Rival(Arc<Document>),
+    ConflictingDocument(Arc<Document>),
     /// Tell one peer what is in force here.
     Announce {
         /// The link to it.
@@ -116,12 +116,12 @@
             return Vec::new();
         }
         let mut actions = self.offer(now, &offer);
-        actions.extend(self.rivals.offered(now, &offer).map(ExchangeAction::Rival));
+        actions.extend(self.rivals.offered(now, &offer).map(ExchangeAction::ConflictingDocument));
         actions
     }
 
     /// Learns what is in force at a peer.
-    pub fn heard(&mut self, now: Now, link: LinkId, peer: Stamp) -> Vec<ExchangeAction> {
+    pub fn learn_peer_stamp(&mut self, now: Now, link: LinkId, peer: Stamp) -> Vec<ExchangeAction> {
         let held = self.stamp();
         if self.adoption.is_behind(peer) {
             self.note_ahead(link, peer);
@@ -135,27 +135,27 @@
         let step = if is_rival { self.rivals.heard(now, peer) } else { None };
         let action = step.map(|step| match step {
             Step::Ask => ExchangeAction::Request { link },
-            Step::Tell(document) => ExchangeAction::Rival(document),
+            Step::Tell(document) => ExchangeAction::ConflictingDocument(document),
         });
         action.into_iter().collect()
     }
 
     /// Whether the peer of a link holds something newer that has not come yet.
     #[must_use]
-    pub fn awaits(&self, link: LinkId) -> bool {
+    pub fn awaits_document_from(&self, link: LinkId) -> bool {
         self.ahead.contains_key(&link)
     }
 
     /// Answers a peer that is behind.
     #[must_use]
-    pub fn requested(&self, link: LinkId) -> Option<ExchangeAction> {
+    pub fn answer_request(&self, link: LinkId) -> Option<ExchangeAction> {
         let in_force = self.in_force()?;
         let bytes = Arc::clone(&in_force.bytes);
         Some(ExchangeAction::Offer { link, stamp: in_force.stamp, bytes })
     }
 
     /// Forgets a link that has ended.
-    pub fn closed(&mut self, now: Now, link: LinkId) -> Vec<ExchangeAction> {
+    pub fn link_closed(&mut self, now: Now, link: LinkId) -> Vec<ExchangeAction> {
         self.ahead.shift_remove(&link);
         if self.asked.is_some_and(|asked| asked.link == link) {
             self.asked = None;
--- a/crates/core/src/adoption/mod.rs
+++ b/crates/core/src/adoption/mod.rs
@@ -6,13 +6,13 @@
 //! - [`is_watcher`] says which processes watch the platform's service.
 //! - [`StartGate`] keeps a new process from serving on a stale document.
 
+mod conflicts;
 mod exchange;
 mod order;
-mod rivals;
-mod start;
+mod start_gate;
 mod watchers;
 
 pub use exchange::{Exchange, ExchangeAction};
 pub use order::{Adoption, InForce, Outcome, Published};
-pub use start::{Probe, StartGate};
+pub use start_gate::{Probe, StartGate};
 pub use watchers::{WATCHERS_PER_FAILURE_DOMAIN, is_watcher};
--- a/crates/core/src/adoption/start.rs
+++ b/crates/core/src/adoption/start_gate.rs
@@ -43,7 +43,7 @@
 }
 
 impl StartGate {
-    /// Closes the gate. `first_link` is the first of [`StartGate::links`] numbers that the gate
+    /// Closes the gate. `first_link` is the first of [`StartGate::link_count`] numbers that the gate
     /// may use.
     #[must_use]
     pub fn new(own: InstanceId, first_link: LinkId) -> Self {
@@ -60,12 +60,12 @@
 
     /// How many link numbers a gate uses at most.
     #[must_use]
-    pub const fn links() -> u64 {
+    pub const fn link_count() -> u64 {
         PROBES as u64
     }
 
     /// Learns the instance list; the first one gives the peers to hear.
-    pub fn listed(&mut self, now: Now, instances: &[Instance]) -> Vec<Probe> {
+    pub fn update_instances(&mut self, now: Now, instances: &[Instance]) -> Vec<Probe> {
         if self.begun {
             return Vec::new();
         }
@@ -77,12 +77,12 @@
     }
 
     /// Notes that a peer has said what is in force there.
-    pub fn heard(&mut self, link: LinkId) {
+    pub fn peer_answered(&mut self, link: LinkId) {
         self.heard.insert(link);
     }
 
     /// Notes that a link has ended.
-    pub fn settled(&mut self, link: LinkId) {
+    pub fn link_closed(&mut self, link: LinkId) {
         self.waiting.swap_remove(&link);
         self.heard.swap_remove(&link);
     }
@@ -94,17 +94,17 @@
     /// Its peer may die before it answers; then the process would serve on what it read from a
     /// stale platform, although it knows better: one would see a revision come back that the
     /// fleet left long ago.
-    pub fn settle(&mut self, is_awaited: impl Fn(LinkId) -> bool) -> Vec<LinkId> {
+    pub fn finish_peers(&mut self, is_awaited: impl Fn(LinkId) -> bool) -> Vec<LinkId> {
         let done: Vec<LinkId> =
             self.heard.iter().copied().filter(|link| !is_awaited(*link)).collect();
-        done.iter().for_each(|link| self.settled(*link));
+        done.iter().for_each(|link| self.link_closed(*link));
         done
     }
 
     /// Whether the link was opened for the gate.
     #[must_use]
     pub fn owns(&self, link: LinkId) -> bool {
-        (self.first_link.0..self.first_link.0 + Self::links()).contains(&link.0)
+        (self.first_link.0..self.first_link.0 + Self::link_count()).contains(&link.0)
     }
 
     /// Whether the process may serve.
--- a/crates/core/src/entry/backend.rs
+++ b/crates/core/src/entry/backend.rs
@@ -1,6 +1,6 @@
 //! Rows of the backend server table.
 
-use crate::health::{HealthOf, Signal, Standing};
+use crate::health::{HealthPolicy, Signal, Standing};
 use crate::ids::InstanceId;
 use crate::time::Now;
 use hickorycross_config::{BackendServer, FailureDomainId, RegionId};
@@ -10,7 +10,7 @@
     pub(super) failure_domain: FailureDomainId,
     pub(super) region: Option<RegionId>,
     pub(super) slots: u32,
-    pub(super) health: Box<dyn HealthOf>,
+    pub(super) health: Box<dyn HealthPolicy>,
     /// Whether its circuit was open when last looked at.
     pub(super) circuit_open: bool,
     /// Whether its agent last said that the backend server does not answer.
@@ -22,7 +22,7 @@
 }
 
 impl Backend {
-    pub(super) fn new(server: &BackendServer, health: Box<dyn HealthOf>) -> Self {
+    pub(super) fn new(server: &BackendServer, health: Box<dyn HealthPolicy>) -> Self {
         Self {
             failure_domain: server.failure_domain.clone(),
             region: None,
@@ -44,7 +44,7 @@
 
     /// Passes a signal to its health policy.
     pub(super) fn signal(&mut self, now: Now, signal: Signal) {
-        if !matches!(signal, Signal::Answered | Signal::Heard | Signal::BackendUp) {
+        if !matches!(signal, Signal::Answered | Signal::Acknowledged | Signal::BackendUp) {
             self.last_fault = Some(signal);
         }
         self.health.signal(now, signal);
--- a/crates/core/src/entry/dispatch.rs
+++ b/crates/core/src/entry/dispatch.rs
@@ -13,7 +13,7 @@
 use crate::ids::{AttemptId, InstanceId, RequestId};
 use crate::key_home::key_home;
 use crate::message::ToAgent;
-use crate::routing::{Candidate, Choice, Pick};
+use crate::routing::{Candidate, RoutingDecision, RoutingRequest};
 use crate::time::{Now, UnixMs};
 use hickorycross_config::{BackendServerId, RegionId};
 use indexmap::IndexMap;
@@ -188,7 +188,7 @@
             .iter()
             .filter_map(|one| candidate(&self.backends, &self.peers, now, one))
             .collect();
-        let choice = Choice {
+        let choice = RoutingRequest {
             rank: row.rank,
             deadline: row.deadline,
             home: &self.identity.failure_domain,
@@ -196,8 +196,8 @@
             candidates: &candidates,
         };
         match self.policies.routing.choose(now, &choice) {
-            Pick::NoneInTime { retry_at } => Selected::NoneInTime { retry_at },
-            Pick::Candidate(index) => candidates
+            RoutingDecision::Refuse { retry_at } => Selected::NoneInTime { retry_at },
+            RoutingDecision::Candidate(index) => candidates
                 .get(index)
                 .or(candidates.first())
                 .map_or(Selected::Nobody, |one| Selected::Backend(one.backend_server.clone())),
@@ -227,7 +227,7 @@
             return self.give_up(turn, request, RefusalCode::Interrupted, None, detail);
         }
         if row.tries == 0 {
-            self.policies.retries.first_try(turn.now, &row.route);
+            self.policies.retries.record_first_try(turn.now, &row.route);
         } else {
             self.counters.retried += 1;
         }
--- a/crates/core/src/entry/fleet.rs
+++ b/crates/core/src/entry/fleet.rs
@@ -34,7 +34,7 @@
     pub(super) fn learn_instances(&mut self, turn: &mut Turn<'_>, list: &[Instance]) {
         let entries = list.iter().filter(|one| is_live(one) && one.role == Role::Entry).count();
         let entries = u32::try_from(entries).unwrap_or(u32::MAX);
-        self.policies.limits.set_entries(turn.now, entries);
+        self.policies.limits.set_entry_count(turn.now, entries);
         for peer in self.peers.values_mut() {
             peer.listed_live = false;
         }
@@ -94,7 +94,7 @@
         }
         backend.signal(turn.now, signal);
         if signal == Signal::Failed {
-            self.policies.routing.failed(turn.now, &backend_server);
+            self.policies.routing.record_failure(turn.now, &backend_server);
         }
         self.note_circuit(turn, &backend_server);
     }
--- a/crates/core/src/entry/receive.rs
+++ b/crates/core/src/entry/receive.rs
@@ -117,7 +117,7 @@
         if in_time && let Some(peer) = self.peers.get_mut(&instance) {
             peer.round_trip.observe(turn.now, sent);
         }
-        self.signal(turn, &instance, Signal::Heard);
+        self.signal(turn, &instance, Signal::Acknowledged);
     }
 
     fn refused(
@@ -135,12 +135,12 @@
         if reason == RefusalReason::Expired
             && let Some(row) = self.requests.get(&request)
         {
-            self.policies.routing.expired(turn.now, row.rank);
+            self.policies.routing.record_expiry(turn.now, row.rank);
         }
         match reason {
             RefusalReason::BackendDown => self.learn_backend_down(turn, &instance, true),
             RefusalReason::Leaving => self.learn_leaving(&instance),
-            _ => self.signal(turn, &instance, Signal::Heard),
+            _ => self.signal(turn, &instance, Signal::Acknowledged),
         }
         self.end_attempt(turn, request, refusal_ending(reason, retry_at));
     }
@@ -192,7 +192,7 @@
             }
             return;
         };
-        self.signal_of_attempt(turn, request, Signal::Heard);
+        self.signal_of_attempt(turn, request, Signal::Acknowledged);
         match outcome {
             RevokeOutcome::Attached => self.touched(turn, link, request),
             RevokeOutcome::Tombstoned => {
--- a/crates/core/src/entry/report.rs
+++ b/crates/core/src/entry/report.rs
@@ -22,7 +22,7 @@
                 self.in_touch_again(request);
             }
         }
-        self.signal(turn, &instance, Signal::Heard);
+        self.signal(turn, &instance, Signal::Acknowledged);
     }
 
     /// An accepted attempt is no longer out of touch: its agent answers on the link in use.
@@ -85,7 +85,7 @@
         totals: &[TeamTotal],
     ) {
         if let Some(peer) = self.peers.get(instance) {
-            self.policies.limits.learn(turn.now, &peer.backend_server, totals);
+            self.policies.limits.receive_totals(turn.now, &peer.backend_server, totals);
         }
     }
 
--- a/crates/core/src/entry/settle.rs
+++ b/crates/core/src/entry/settle.rs
@@ -62,7 +62,7 @@
             return false;
         }
         let retries = &mut self.policies.retries;
-        let decision = retries.judge(turn.now, &row.route, row.tries, row.deadline);
+        let decision = retries.decide(turn.now, &row.route, row.tries, row.deadline);
         let RetryDecision::RetryAt(at) = decision else { return false };
         row.not_before = at;
         row.link_wait = at.max(turn.now.unix_ms).after(LINK_WAIT_MS);
--- a/crates/core/src/entry/setup.rs
+++ b/crates/core/src/entry/setup.rs
@@ -1,10 +1,10 @@
 //! What an entry is made of: its identity and its policies.
 
-use crate::health::{AsTold, Graded, HealthOf};
+use crate::health::{CircuitBreaker, HealthPolicy, ReportedHealth};
 use crate::ids::Incarnation;
-use crate::limits::{LimitTeams, SharedLimits, Unlimited};
-use crate::retry::{BudgetRetries, FixedBudget, TokenBudget};
-use crate::routing::{ChooseBackend, LeastOutstanding, TwoChoices};
+use crate::limits::{SharedLimits, TeamLimiter, Unlimited};
+use crate::retry::{FixedBudget, RetryBudget, TokenBudget};
+use crate::routing::{LeastOutstanding, RoutingPolicy, TwoChoices};
 use hickorycross_config::FailureDomainId;
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -21,16 +21,16 @@
 }
 
 /// Makes the health policy of one backend server.
-pub type MakeHealth = Box<dyn Fn() -> Box<dyn HealthOf> + Send>;
+pub type MakeHealth = Box<dyn Fn() -> Box<dyn HealthPolicy> + Send>;
 
 /// The policies that an entry consults.
 pub struct EntryPolicies {
     /// Chooses a backend server.
-    pub routing: Box<dyn ChooseBackend>,
+    pub routing: Box<dyn RoutingPolicy>,
     /// Holds team limits.
-    pub limits: Box<dyn LimitTeams>,
+    pub limits: Box<dyn TeamLimiter>,
     /// Holds the budget of further tries.
-    pub retries: Box<dyn BudgetRetries>,
+    pub retries: Box<dyn RetryBudget>,
     /// Makes the health policy of each backend server.
     pub health: MakeHealth,
 }
@@ -42,8 +42,8 @@
         Self {
             routing: Box::new(LeastOutstanding::default()),
             limits: Box::new(Unlimited),
-            retries: Box::new(FixedBudget::at_once(PLAIN_TRIES)),
-            health: Box::new(|| Box::<AsTold>::default()),
+            retries: Box::new(FixedBudget::without_pause(PLAIN_TRIES)),
+            health: Box::new(|| Box::<ReportedHealth>::default()),
         }
     }
 
@@ -58,7 +58,7 @@
             retries: Box::new(TokenBudget::new(seed)),
             health: Box::new(move || {
                 let seed = next_health_seed.fetch_add(1, Ordering::Relaxed);
-                Box::new(Graded::new(seed))
+                Box::new(CircuitBreaker::new(seed))
             }),
         }
     }
--- a/crates/core/src/entry/stream.rs
+++ b/crates/core/src/entry/stream.rs
@@ -181,8 +181,8 @@
         let Some(row) = self.requests.get(&request) else { return };
         let Some(live) = row.attempt.as_ref() else { return };
         let first_chunk_ms = turn.now.unix_ms.since(live.sent);
-        self.policies.routing.began(turn.now, row.rank);
-        self.policies.routing.observe(turn.now, &live.backend_server, first_chunk_ms);
+        self.policies.routing.record_start(turn.now, row.rank);
+        self.policies.routing.record_first_chunk(turn.now, &live.backend_server, first_chunk_ms);
     }
 
     /// Pieces are missing: attach again soon, unless they arrive by themselves.
--- a/crates/core/src/health/always_up.rs
+++ b/crates/core/src/health/always_up.rs
@@ -1,6 +1,6 @@
 //! Baseline: no suspicion.
 
-use super::border::{HealthOf, Signal, Standing};
+use super::policy::{HealthPolicy, Signal, Standing};
 use crate::time::Now;
 
 /// Gives every backend server its full share, whatever is seen of it. For tests and measurements
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AlwaysUp;
 
-impl HealthOf for AlwaysUp {
+impl HealthPolicy for AlwaysUp {
     fn signal(&mut self, _now: Now, _signal: Signal) {}
 
     fn standing(&self, _now: Now) -> Standing {
--- a/crates/core/src/health/graded.rs
+++ b/crates/core/src/health/circuit_breaker.rs
@@ -1,8 +1,8 @@
 //! The health policy in use.
 
 use super::backoff::{AFTER_FAILURES, AFTER_SILENCE, Backoff};
-use super::border::{HealthOf, Signal, Standing};
 use super::counts::Counts;
+use super::policy::{HealthPolicy, Signal, Standing};
 use super::ramp::Ramp;
 use crate::time::{Now, UnixMs};
 
@@ -60,7 +60,7 @@
 
 /// Graded suspicion of one backend server.
 #[derive(Clone, Debug)]
-pub struct Graded {
+pub struct CircuitBreaker {
     circuit: Circuit,
     counts: Counts,
     missed: u32,
@@ -68,7 +68,7 @@
     backoff: Backoff,
 }
 
-impl Graded {
+impl CircuitBreaker {
     /// Begins with a closed circuit; entries differ in their seeds so that their probes spread.
     #[must_use]
     pub fn new(seed: u64) -> Self {
@@ -189,11 +189,11 @@
     }
 }
 
-impl HealthOf for Graded {
+impl HealthPolicy for CircuitBreaker {
     fn signal(&mut self, now: Now, signal: Signal) {
         match signal {
             Signal::Answered => self.answered(now),
-            Signal::Heard => self.heard(now),
+            Signal::Acknowledged => self.heard(now),
             Signal::Failed => self.failed(now),
             Signal::Missed => self.missed(now),
             Signal::Restarted => self.begin_ramp(Ramp::cold(now)),
--- a/crates/core/src/health/mod.rs
+++ b/crates/core/src/health/mod.rs
@@ -1,16 +1,16 @@
 //! Graded suspicion of backend servers: reduced share, open circuit, probing, staged ramp.
 //!
-//! [`Graded`] is the policy in use.
+//! [`CircuitBreaker`] is the policy in use.
 
 mod always_up;
-mod as_told;
 mod backoff;
-mod border;
+mod circuit_breaker;
 mod counts;
-mod graded;
+mod policy;
 mod ramp;
+mod reported_health;
 
 pub use always_up::AlwaysUp;
-pub use as_told::AsTold;
-pub use border::{HealthOf, Signal, Standing};
-pub use graded::Graded;
+pub use circuit_breaker::CircuitBreaker;
+pub use policy::{HealthPolicy, Signal, Standing};
+pub use reported_health::ReportedHealth;
--- a/crates/core/src/health/border.rs
+++ b/crates/core/src/health/policy.rs
@@ -9,7 +9,7 @@
     Answered,
     /// A message in answer to ours, such as an acknowledgement: the agent lives and the link
     /// works. It says nothing of the backend server, which may fail every attempt.
-    Heard,
+    Acknowledged,
     /// An attempt failed there, or it answered with a server error.
     Failed,
     /// A heartbeat or an acknowledgement is overdue.
@@ -34,7 +34,7 @@
 }
 
 /// Health of the backend servers as one entry sees them; one value for each backend server.
-pub trait HealthOf: Send {
+pub trait HealthPolicy: Send {
     /// Learns from a signal.
     fn signal(&mut self, now: Now, signal: Signal);
 
--- a/crates/core/src/health/as_told.rs
+++ b/crates/core/src/health/reported_health.rs
@@ -1,20 +1,20 @@
 //! Baseline: down while the agent says so.
 
-use super::border::{HealthOf, Signal, Standing};
+use super::policy::{HealthPolicy, Signal, Standing};
 use crate::time::Now;
 
 /// Baseline of health: down while the agent says so, else a full share.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct AsTold {
+pub struct ReportedHealth {
     down: bool,
 }
 
-impl HealthOf for AsTold {
+impl HealthPolicy for ReportedHealth {
     fn signal(&mut self, _now: Now, signal: Signal) {
         match signal {
             Signal::BackendDown => self.down = true,
             Signal::BackendUp => self.down = false,
-            Signal::Heard
+            Signal::Acknowledged
             | Signal::Answered
             | Signal::Failed
             | Signal::Missed
--- a/crates/core/src/limits/mod.rs
+++ b/crates/core/src/limits/mod.rs
@@ -4,9 +4,9 @@
 //! share of the team's limit. The share follows measured demand, which two home agents for each
 //! team sum up.
 
-mod border;
 mod bucket;
 mod homes;
+mod policy;
 mod rate;
 mod reports;
 mod share;
@@ -14,7 +14,7 @@
 mod team;
 mod unlimited;
 
-pub use border::{Admission, DemandReport, LimitTeams};
+pub use policy::{Admission, DemandReport, TeamLimiter};
 pub use reports::{REPORT_BYTES_PER_S, report_bytes};
 pub use shared::SharedLimits;
 pub use unlimited::Unlimited;
--- a/crates/core/src/limits/border.rs
+++ b/crates/core/src/limits/policy.rs
@@ -26,12 +26,12 @@
 }
 
 /// Team limits at one entry.
-pub trait LimitTeams: Send {
+pub trait TeamLimiter: Send {
     /// Follows another document.
     fn adopt(&mut self, now: Now, document: &Document);
 
     /// Learns how many entries the instance list names as live.
-    fn set_entries(&mut self, now: Now, entries: u32);
+    fn set_entry_count(&mut self, now: Now, entries: u32);
 
     /// Counts a request of a team and judges it.
     fn admit(&mut self, now: Now, team: &TeamId) -> Admission;
@@ -40,5 +40,5 @@
     fn due_reports(&mut self, now: Now) -> Vec<DemandReport>;
 
     /// Learns totals from the agent of a backend server.
-    fn learn(&mut self, now: Now, from: &BackendServerId, totals: &[TeamTotal]);
+    fn receive_totals(&mut self, now: Now, from: &BackendServerId, totals: &[TeamTotal]);
 }
--- a/crates/core/src/limits/reports.rs
+++ b/crates/core/src/limits/reports.rs
@@ -1,6 +1,6 @@
 //! Which demands are told to which home agent, and when.
 
-use super::border::DemandReport;
+use super::policy::DemandReport;
 use crate::message::TeamDemand;
 use crate::time::{Now, UnixMs};
 use hickorycross_config::BackendServerId;
--- a/crates/core/src/limits/shared.rs
+++ b/crates/core/src/limits/shared.rs
@@ -1,6 +1,6 @@
 //! The limits in use: each entry holds its measured share of every team's limit.
 
-use super::border::{Admission, DemandReport, LimitTeams};
+use super::policy::{Admission, DemandReport, TeamLimiter};
 use super::reports::{Batches, ByteBudget};
 use super::team::TeamRow;
 use crate::message::{TeamDemand, TeamTotal};
@@ -84,7 +84,7 @@
     }
 }
 
-impl LimitTeams for SharedLimits {
+impl TeamLimiter for SharedLimits {
     fn adopt(&mut self, now: Now, document: &Document) {
         let entries = self.entries;
         let mut before = std::mem::take(&mut self.teams);
@@ -100,7 +100,7 @@
         }
     }
 
-    fn set_entries(&mut self, _now: Now, entries: u32) {
+    fn set_entry_count(&mut self, _now: Now, entries: u32) {
         self.entries = entries;
     }
 
@@ -130,7 +130,7 @@
         sent
     }
 
-    fn learn(&mut self, now: Now, from: &BackendServerId, totals: &[TeamTotal]) {
+    fn receive_totals(&mut self, now: Now, from: &BackendServerId, totals: &[TeamTotal]) {
         let entries = self.entries;
         for total in totals {
             if let Some(row) = self.teams.get_mut(&total.team) {
--- a/crates/core/src/limits/unlimited.rs
+++ b/crates/core/src/limits/unlimited.rs
@@ -1,6 +1,6 @@
 //! Baseline: no limits.
 
-use super::border::{Admission, DemandReport, LimitTeams};
+use super::policy::{Admission, DemandReport, TeamLimiter};
 use crate::message::TeamTotal;
 use crate::time::Now;
 use hickorycross_config::{BackendServerId, Document, TeamId};
@@ -9,10 +9,10 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Unlimited;
 
-impl LimitTeams for Unlimited {
+impl TeamLimiter for Unlimited {
     fn adopt(&mut self, _now: Now, _document: &Document) {}
 
-    fn set_entries(&mut self, _now: Now, _entries: u32) {}
+    fn set_entry_count(&mut self, _now: Now, _entries: u32) {}
 
     fn admit(&mut self, _now: Now, _team: &TeamId) -> Admission {
         Admission::Within
@@ -22,5 +22,5 @@
         Vec::new()
     }
 
-    fn learn(&mut self, _now: Now, _from: &BackendServerId, _totals: &[TeamTotal]) {}
+    fn receive_totals(&mut self, _now: Now, _from: &BackendServerId, _totals: &[TeamTotal]) {}
 }
--- a/crates/core/src/retry/fixed_budget.rs
+++ b/crates/core/src/retry/fixed_budget.rs
@@ -1,6 +1,6 @@
 //! Baseline: a fixed number of tries for each request.
 
-use super::border::{BudgetRetries, RetryDecision};
+use super::policy::{RetryBudget, RetryDecision};
 use crate::time::{Now, UnixMs};
 use hickorycross_config::{Document, RouteId};
 
@@ -26,7 +26,7 @@
 
     /// Allows this many tries of a request, one right after the other.
     #[must_use]
-    pub const fn at_once(most_tries: u16) -> Self {
+    pub const fn without_pause(most_tries: u16) -> Self {
         Self { most_tries, pauses: false }
     }
 }
@@ -37,12 +37,18 @@
     }
 }
 
-impl BudgetRetries for FixedBudget {
+impl RetryBudget for FixedBudget {
     fn adopt(&mut self, _document: &Document) {}
 
-    fn first_try(&mut self, _now: Now, _route: &RouteId) {}
+    fn record_first_try(&mut self, _now: Now, _route: &RouteId) {}
 
-    fn judge(&mut self, now: Now, _route: &RouteId, tries: u16, deadline: UnixMs) -> RetryDecision {
+    fn decide(
+        &mut self,
+        now: Now,
+        _route: &RouteId,
+        tries: u16,
+        deadline: UnixMs,
+    ) -> RetryDecision {
         let at = if self.pauses { now.after(PAUSE_MS) } else { now.unix_ms };
         if tries >= self.most_tries || at >= deadline {
             return RetryDecision::GiveUp;
--- a/crates/core/src/retry/mod.rs
+++ b/crates/core/src/retry/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! [`TokenBudget`] is the policy in use.
 
-mod border;
 mod fixed_budget;
+mod policy;
 mod token_budget;
 
-pub use border::{BudgetRetries, RetryDecision};
 pub use fixed_budget::FixedBudget;
+pub use policy::{RetryBudget, RetryDecision};
 pub use token_budget::TokenBudget;
--- a/crates/core/src/retry/border.rs
+++ b/crates/core/src/retry/policy.rs
@@ -13,13 +13,13 @@
 }
 
 /// Retry budgets by route at one entry.
-pub trait BudgetRetries: Send {
+pub trait RetryBudget: Send {
     /// Follows another document.
     fn adopt(&mut self, document: &Document);
 
     /// Counts a first try.
-    fn first_try(&mut self, now: Now, route: &RouteId);
+    fn record_first_try(&mut self, now: Now, route: &RouteId);
 
     /// Judges another try: `tries` have been made, the work must begin before `deadline`.
-    fn judge(&mut self, now: Now, route: &RouteId, tries: u16, deadline: UnixMs) -> RetryDecision;
+    fn decide(&mut self, now: Now, route: &RouteId, tries: u16, deadline: UnixMs) -> RetryDecision;
 }
--- a/crates/core/src/retry/token_budget.rs
+++ b/crates/core/src/retry/token_budget.rs
@@ -1,6 +1,6 @@
 //! The retry budgets in use: tokens by route.
 
-use super::border::{BudgetRetries, RetryDecision};
+use super::policy::{RetryBudget, RetryDecision};
 use crate::time::{Now, UnixMs};
 use hickorycross_config::{Document, RouteId};
 use indexmap::IndexMap;
@@ -77,7 +77,7 @@
     }
 }
 
-impl BudgetRetries for TokenBudget {
+impl RetryBudget for TokenBudget {
     fn adopt(&mut self, document: &Document) {
         let before = std::mem::take(&mut self.routes);
         for route in &document.routes {
@@ -88,7 +88,7 @@
         }
     }
 
-    fn first_try(&mut self, now: Now, route: &RouteId) {
+    fn record_first_try(&mut self, now: Now, route: &RouteId) {
         let Some(row) = self.routes.get_mut(route) else {
             return;
         };
@@ -96,7 +96,7 @@
         row.tokens = (row.tokens + row.earned_per_try).min(MOST_TOKENS);
     }
 
-    fn judge(&mut self, now: Now, route: &RouteId, tries: u16, deadline: UnixMs) -> RetryDecision {
+    fn decide(&mut self, now: Now, route: &RouteId, tries: u16, deadline: UnixMs) -> RetryDecision {
         let at = now.after(self.pause_ms(tries));
         let Some(row) = self.routes.get_mut(route) else {
             return RetryDecision::GiveUp;
--- a/crates/core/src/routing/least_outstanding.rs
+++ b/crates/core/src/routing/least_outstanding.rs
@@ -1,6 +1,6 @@
 //! Baseline: the candidate with the fewest open attempts of this entry.
 
-use super::border::{Choice, ChooseBackend, Pick};
+use super::policy::{RoutingDecision, RoutingPolicy, RoutingRequest};
 use crate::time::Now;
 use hickorycross_config::BackendServerId;
 
@@ -13,8 +13,8 @@
     last: usize,
 }
 
-impl ChooseBackend for LeastOutstanding {
-    fn choose(&mut self, _now: Now, choice: &Choice<'_>) -> Pick {
+impl RoutingPolicy for LeastOutstanding {
+    fn choose(&mut self, _now: Now, choice: &RoutingRequest<'_>) -> RoutingDecision {
         let count = choice.candidates.len();
         let first = self.last.wrapping_add(1);
         let index = (0..count)
@@ -22,8 +22,14 @@
             .min_by_key(|&index| choice.candidates[index].outstanding)
             .unwrap_or(0);
         self.last = index;
-        Pick::Candidate(index)
+        RoutingDecision::Candidate(index)
     }
 
-    fn observe(&mut self, _now: Now, _backend_server: &BackendServerId, _first_chunk_ms: u64) {}
+    fn record_first_chunk(
+        &mut self,
+        _now: Now,
+        _backend_server: &BackendServerId,
+        _first_chunk_ms: u64,
+    ) {
+    }
 }
--- a/crates/core/src/routing/border.rs
+++ b/crates/core/src/routing/policy.rs
@@ -28,7 +28,7 @@
 
 /// One request that needs a backend server.
 #[derive(Clone, Copy, Debug)]
-pub struct Choice<'a> {
+pub struct RoutingRequest<'a> {
     /// Rank of its tier.
     pub rank: u8,
     /// Its deadline.
@@ -43,35 +43,40 @@
 
 /// The answer of a routing policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pick {
+pub enum RoutingDecision {
     /// Send it to the candidate at this index.
     Candidate(usize),
     /// None can begin it before its deadline: refuse it at once.
-    NoneInTime {
+    Refuse {
         /// When coming back makes sense.
         retry_at: UnixMs,
     },
 }
 
 /// A routing policy.
-pub trait ChooseBackend: Send {
+pub trait RoutingPolicy: Send {
     /// Follows another document. Policies that do not weigh tiers need not do anything.
     fn adopt(&mut self, _document: &Document) {}
 
     /// Picks a candidate, or refuses.
-    fn choose(&mut self, now: Now, choice: &Choice<'_>) -> Pick;
+    fn choose(&mut self, now: Now, choice: &RoutingRequest<'_>) -> RoutingDecision;
 
     /// Learns how long an attempt took to its first chunk.
-    fn observe(&mut self, now: Now, backend_server: &BackendServerId, first_chunk_ms: u64);
+    fn record_first_chunk(
+        &mut self,
+        now: Now,
+        backend_server: &BackendServerId,
+        first_chunk_ms: u64,
+    );
 
     /// Learns that a request of this rank got its first chunk, so that it has begun. Policies that
     /// do not weigh tiers need not do anything.
-    fn began(&mut self, _now: Now, _rank: u8) {}
+    fn record_start(&mut self, _now: Now, _rank: u8) {}
 
     /// Learns that an accepted request of this rank expired in a queue.
-    fn expired(&mut self, _now: Now, _rank: u8) {}
+    fn record_expiry(&mut self, _now: Now, _rank: u8) {}
 
     /// Learns that an attempt failed before its first chunk. Policies that ignore failures need
     /// not do anything.
-    fn failed(&mut self, _now: Now, _backend_server: &BackendServerId) {}
+    fn record_failure(&mut self, _now: Now, _backend_server: &BackendServerId) {}
 }
--- a/crates/core/src/routing/projection.rs
+++ b/crates/core/src/routing/projection.rs
@@ -1,6 +1,6 @@
 //! What a lagging report still says about the wait at a candidate.
 
-use super::border::Candidate;
+use super::policy::Candidate;
 use crate::message::Load;
 use crate::time::Now;
 
--- a/crates/core/src/routing/raw_two_choices.rs
+++ b/crates/core/src/routing/raw_two_choices.rs
@@ -1,6 +1,6 @@
 //! Baseline: two random candidates by the raw lagging report.
 
-use super::border::{Choice, ChooseBackend, Pick};
+use super::policy::{RoutingDecision, RoutingPolicy, RoutingRequest};
 use super::sample::two_of;
 use crate::time::Now;
 use hickorycross_config::BackendServerId;
@@ -22,20 +22,26 @@
     }
 }
 
-impl ChooseBackend for RawTwoChoices {
-    fn choose(&mut self, _now: Now, choice: &Choice<'_>) -> Pick {
+impl RoutingPolicy for RawTwoChoices {
+    fn choose(&mut self, _now: Now, choice: &RoutingRequest<'_>) -> RoutingDecision {
         let all: Vec<usize> = (0..choice.candidates.len()).collect();
         let Some((one, other)) = two_of(&mut self.rng, &all) else {
-            return Pick::Candidate(0);
+            return RoutingDecision::Candidate(0);
         };
         let better = if reported(choice, other) < reported(choice, one) { other } else { one };
-        Pick::Candidate(better)
+        RoutingDecision::Candidate(better)
     }
 
-    fn observe(&mut self, _now: Now, _backend_server: &BackendServerId, _first_chunk_ms: u64) {}
+    fn record_first_chunk(
+        &mut self,
+        _now: Now,
+        _backend_server: &BackendServerId,
+        _first_chunk_ms: u64,
+    ) {
+    }
 }
 
-fn reported(choice: &Choice<'_>, index: usize) -> u32 {
+fn reported(choice: &RoutingRequest<'_>, index: usize) -> u32 {
     let Some(load) = choice.candidates[index].load else {
         return 0;
     };
--- a/crates/core/src/routing/round_robin.rs
+++ b/crates/core/src/routing/round_robin.rs
@@ -1,6 +1,6 @@
 //! Baseline: each candidate in turn.
 
-use super::border::{Choice, ChooseBackend, Pick};
+use super::policy::{RoutingDecision, RoutingPolicy, RoutingRequest};
 use crate::time::Now;
 use hickorycross_config::BackendServerId;
 
@@ -10,12 +10,18 @@
     turn: usize,
 }
 
-impl ChooseBackend for RoundRobin {
-    fn choose(&mut self, _now: Now, choice: &Choice<'_>) -> Pick {
+impl RoutingPolicy for RoundRobin {
+    fn choose(&mut self, _now: Now, choice: &RoutingRequest<'_>) -> RoutingDecision {
         let index = self.turn % choice.candidates.len();
         self.turn = self.turn.wrapping_add(1);
-        Pick::Candidate(index)
+        RoutingDecision::Candidate(index)
     }
 
-    fn observe(&mut self, _now: Now, _backend_server: &BackendServerId, _first_chunk_ms: u64) {}
+    fn record_first_chunk(
+        &mut self,
+        _now: Now,
+        _backend_server: &BackendServerId,
+        _first_chunk_ms: u64,
+    ) {
+    }
 }
--- a/crates/core/src/routing/sample.rs
+++ b/crates/core/src/routing/sample.rs
@@ -1,6 +1,6 @@
 //! Random draws among candidates.
 
-use super::border::Candidate;
+use super::policy::Candidate;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/core/src/routing/two_choices.rs
+++ b/crates/core/src/routing/two_choices.rs
@@ -1,9 +1,9 @@
 //! The routing policy in use: two random candidates, weighed by what this entry knows of them.
 
-use super::border::{Candidate, Choice, ChooseBackend, Pick};
 use super::estimate::Estimates;
 use super::margin::Margins;
 use super::mix::Mix;
+use super::policy::{Candidate, RoutingDecision, RoutingPolicy, RoutingRequest};
 use super::projection::{Fading, Starts, report_age, requests_ahead, slots, wait_ms};
 use super::sample::{share_weighted, some_of, usable};
 use crate::rendezvous;
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy)]
 struct Weighing<'a> {
     now: Now,
-    choice: &'a Choice<'a>,
+    choice: &'a RoutingRequest<'a>,
     estimates: &'a Estimates,
     starts: Starts,
     margin: f64,
@@ -90,7 +90,7 @@
         Starts { free_permille: self.mix.free_permille(rank), floor_permille: f64::from(floor) }
     }
 
-    fn pick(&mut self, now: Now, choice: &Choice<'_>) -> Pick {
+    fn pick(&mut self, now: Now, choice: &RoutingRequest<'_>) -> RoutingDecision {
         let weighing = Weighing {
             now,
             choice,
@@ -104,13 +104,13 @@
             return weighing.in_time_or_refusal(index, &[]);
         }
         if let Some(index) = weighing.with_cached_prefix(&usable) {
-            return Pick::Candidate(index);
+            return RoutingDecision::Candidate(index);
         }
         let choices = weighing.choices(&usable);
         let near = weighing.near(&usable);
         let near_best = weighing.better(&some_of(&mut self.rng, &near, choices));
         if let Some(index) = near_best.filter(|&index| weighing.has_room(index)) {
-            return Pick::Candidate(index);
+            return RoutingDecision::Candidate(index);
         }
         let best = weighing.better(&some_of(&mut self.rng, &usable, choices));
         weighing.in_time_or_refusal(best.unwrap_or(usable[0]), &usable)
@@ -203,9 +203,9 @@
 
     /// The picked candidate if it begins in time, else the one with the shortest wait if that one
     /// does, else a refusal.
-    fn in_time_or_refusal(&self, picked: usize, usable: &[usize]) -> Pick {
+    fn in_time_or_refusal(&self, picked: usize, usable: &[usize]) -> RoutingDecision {
         if self.is_in_time(picked) {
-            return Pick::Candidate(picked);
+            return RoutingDecision::Candidate(picked);
         }
         let shortest = usable
             .iter()
@@ -213,17 +213,17 @@
             .min_by(|&one, &other| self.projected_ms(one).total_cmp(&self.projected_ms(other)))
             .unwrap_or(picked);
         if self.is_in_time(shortest) {
-            return Pick::Candidate(shortest);
+            return RoutingDecision::Candidate(shortest);
         }
         self.refusal(shortest)
     }
 
     /// Coming back makes sense once enough of the queue has been served for the same slack to
     /// suffice.
-    fn refusal(&self, shortest: usize) -> Pick {
+    fn refusal(&self, shortest: usize) -> RoutingDecision {
         let excess_ms = self.projected_ms(shortest) - self.slack_ms();
         let return_ms = excess_ms.max(LEAST_RETURN_MS).ceil();
-        Pick::NoneInTime { retry_at: self.now.after(return_ms as u64) }
+        RoutingDecision::Refuse { retry_at: self.now.after(return_ms as u64) }
     }
 }
 
@@ -232,34 +232,39 @@
     Some(one?.max(other?))
 }
 
-impl ChooseBackend for TwoChoices {
+impl RoutingPolicy for TwoChoices {
     fn adopt(&mut self, document: &Document) {
         let tiers = document.tiers.iter();
         self.floors_permille = tiers.map(|tier| (tier.rank, tier.floor_permille)).collect();
     }
 
-    fn choose(&mut self, now: Now, choice: &Choice<'_>) -> Pick {
+    fn choose(&mut self, now: Now, choice: &RoutingRequest<'_>) -> RoutingDecision {
         let pick = self.pick(now, choice);
-        if let Pick::Candidate(_) = pick {
+        if let RoutingDecision::Candidate(_) = pick {
             self.mix.sent(now, choice.rank);
         }
         pick
     }
 
-    fn observe(&mut self, now: Now, backend_server: &BackendServerId, first_chunk_ms: u64) {
+    fn record_first_chunk(
+        &mut self,
+        now: Now,
+        backend_server: &BackendServerId,
+        first_chunk_ms: u64,
+    ) {
         self.estimates.answered(now, backend_server, first_chunk_ms);
     }
 
-    fn began(&mut self, now: Now, rank: u8) {
+    fn record_start(&mut self, now: Now, rank: u8) {
         self.mix.began(now, rank);
         self.margins.began(rank);
     }
 
-    fn expired(&mut self, _now: Now, rank: u8) {
+    fn record_expiry(&mut self, _now: Now, rank: u8) {
         self.margins.expired(rank);
     }
 
-    fn failed(&mut self, now: Now, backend_server: &BackendServerId) {
+    fn record_failure(&mut self, now: Now, backend_server: &BackendServerId) {
         self.estimates.failed(now, backend_server);
     }
 }
--- a/crates/core/tests/adoption_failures.rs
+++ b/crates/core/tests/adoption_failures.rs
@@ -56,7 +56,7 @@
 
 const CASES: &[Case] = &[
     Case { name: "the answer is lost", happens: |exchange| exchange.tick(Now::at(PATIENCE_MS)) },
-    Case { name: "the link ends", happens: |exchange| exchange.closed(Now::at(1), FIRST) },
+    Case { name: "the link ends", happens: |exchange| exchange.link_closed(Now::at(1), FIRST) },
 ];
 
 // Symptom: one process stays on the old revision for ten seconds and more after a change, although
@@ -68,8 +68,13 @@
 fn a_document_that_does_not_come_is_asked_for_elsewhere() {
     for case in CASES {
         let mut exchange = Exchange::default();
-        assert_eq!(exchange.heard(Now::at(0), FIRST, newer()), asks(FIRST), "{}", case.name);
-        assert_eq!(exchange.heard(Now::at(1), SECOND, newer()), [], "{}", case.name);
+        assert_eq!(
+            exchange.learn_peer_stamp(Now::at(0), FIRST, newer()),
+            asks(FIRST),
+            "{}",
+            case.name
+        );
+        assert_eq!(exchange.learn_peer_stamp(Now::at(1), SECOND, newer()), [], "{}", case.name);
         assert_eq!(exchange.tick(Now::at(2)), [], "{}", case.name);
         assert_eq!((case.happens)(&mut exchange), asks(SECOND), "{}", case.name);
         let _ = exchange.offer(Now::at(PATIENCE_MS), &published(2));
@@ -85,18 +90,18 @@
 fn the_start_gate_keeps_every_peer_that_is_ahead_until_its_document_is_here() {
     let mut exchange = Exchange::default();
     let mut gate = StartGate::new(InstanceId::new("own"), FIRST);
-    assert_eq!(gate.listed(Now::at(0), &[agent(0), agent(1)]).len(), 2);
+    assert_eq!(gate.update_instances(Now::at(0), &[agent(0), agent(1)]).len(), 2);
     let _ = exchange.offer(Now::at(0), &published(1));
     for link in [FIRST, SECOND] {
-        let _ = exchange.heard(Now::at(1), link, newer());
-        gate.heard(link);
-        assert_eq!(gate.settle(|link| exchange.awaits(link)), []);
+        let _ = exchange.learn_peer_stamp(Now::at(1), link, newer());
+        gate.peer_answered(link);
+        assert_eq!(gate.finish_peers(|link| exchange.awaits_document_from(link)), []);
     }
-    gate.settled(FIRST);
-    assert_eq!(exchange.closed(Now::at(2), FIRST), asks(SECOND));
+    gate.link_closed(FIRST);
+    assert_eq!(exchange.link_closed(Now::at(2), FIRST), asks(SECOND));
     assert!(!gate.is_open(Now::at(2)), "the second peer is still to answer");
     let _ = exchange.peer_offer(Now::at(3), newer(), &published(2).bytes);
-    assert_eq!(gate.settle(|link| exchange.awaits(link)), [SECOND]);
+    assert_eq!(gate.finish_peers(|link| exchange.awaits_document_from(link)), [SECOND]);
     assert!(gate.is_open(Now::at(3)) && exchange.stamp() == newer());
 }
 
@@ -109,10 +114,11 @@
     let mut exchange = Exchange::default();
     let _ = exchange.offer(Now::at(0), &published(2));
     let rival = Published { revision: 2, ..published(3) };
-    let heard =
-        |exchange: &mut Exchange, at_ms| exchange.heard(Now::at(at_ms), FIRST, rival.stamp());
+    let heard = |exchange: &mut Exchange, at_ms| {
+        exchange.learn_peer_stamp(Now::at(at_ms), FIRST, rival.stamp())
+    };
     let told = |actions: &[ExchangeAction]| {
-        actions.iter().any(|action| matches!(action, ExchangeAction::Rival(_)))
+        actions.iter().any(|action| matches!(action, ExchangeAction::ConflictingDocument(_)))
     };
     assert_eq!(heard(&mut exchange, 1), asks(FIRST), "it is fetched");
     assert_eq!(heard(&mut exchange, 2), [], "once");
--- a/crates/core/tests/entry_rules.rs
+++ b/crates/core/tests/entry_rules.rs
@@ -16,7 +16,7 @@
     EntryAction, EntryCore, EntryEvent, EntryIdentity, EntryPolicies, LinkUsage, Mechanisms,
     RefusalCode,
 };
-use hickorycross_core::limits::{Admission, DemandReport, LimitTeams};
+use hickorycross_core::limits::{Admission, DemandReport, TeamLimiter};
 use hickorycross_core::message::RefusalReason::{
     BackendDown, Expired, KeyConflict, Leaving, NotKeyHome, QueueFull, Revoked, UnknownRoute,
     WrongIncarnation,
@@ -342,10 +342,10 @@
     }
 }
 
-impl LimitTeams for SpyLimits {
+impl TeamLimiter for SpyLimits {
     fn adopt(&mut self, _now: Now, _document: &Document) {}
 
-    fn set_entries(&mut self, _now: Now, entries: u32) {
+    fn set_entry_count(&mut self, _now: Now, entries: u32) {
         self.note(format!("entries {entries}"));
     }
 
@@ -358,7 +358,7 @@
         vec![DemandReport { to: BackendServerId::new("s-2"), demands }]
     }
 
-    fn learn(&mut self, _now: Now, from: &BackendServerId, totals: &[TeamTotal]) {
+    fn receive_totals(&mut self, _now: Now, from: &BackendServerId, totals: &[TeamTotal]) {
         self.note(format!("totals from {from}: {}", totals.len()));
     }
 }
--- a/crates/core/tests/policy_health.rs
+++ b/crates/core/tests/policy_health.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use hickorycross_core::Now;
-use hickorycross_core::health::{Graded, HealthOf, Signal, Standing};
+use hickorycross_core::health::{CircuitBreaker, HealthPolicy, Signal, Standing};
 
 const START_MS: u64 = 1_000_000;
 
@@ -31,8 +31,8 @@
     expected: Expected,
 }
 
-fn after(steps: &[Step], seed: u64) -> Graded {
-    let mut health = Graded::new(seed);
+fn after(steps: &[Step], seed: u64) -> CircuitBreaker {
+    let mut health = CircuitBreaker::new(seed);
     for step in steps {
         match *step {
             Step::Signal(at_ms, signal) => health.signal(Now::at(START_MS + at_ms), signal),
@@ -81,7 +81,7 @@
         Case { name: "three", steps: missed(3), at_ms: 410, expected: Expected::Open },
         Case {
             name: "an answer takes them back",
-            steps: then(missed(2), &[Step::Signal(300, Signal::Heard)]),
+            steps: then(missed(2), &[Step::Signal(300, Signal::Acknowledged)]),
             at_ms: 310,
             expected: Expected::Full,
         },
@@ -115,13 +115,13 @@
         Case { name: "from busy", steps: open.clone(), at_ms: 5310, expected: Expected::Open },
         Case {
             name: "heartbeats do not close it",
-            steps: then(open.clone(), &[Step::Signal(5320, Signal::Heard)]),
+            steps: then(open.clone(), &[Step::Signal(5320, Signal::Acknowledged)]),
             at_ms: 5330,
             expected: Expected::Open,
         },
         Case {
             name: "nor while a probe is under way",
-            steps: then(probing, &[Step::Signal(6010, Signal::Heard)]),
+            steps: then(probing, &[Step::Signal(6010, Signal::Acknowledged)]),
             at_ms: 6020,
             expected: Expected::Open,
         },
@@ -144,7 +144,7 @@
 fn acknowledged_failures(from_ms: u64, failures: u64) -> Vec<Step> {
     let mut steps = Vec::new();
     for index in 0..failures {
-        steps.push(Step::Signal(from_ms + index * 100, Signal::Heard));
+        steps.push(Step::Signal(from_ms + index * 100, Signal::Acknowledged));
         steps.push(Step::Signal(from_ms + index * 100 + 5, Signal::Failed));
     }
     steps
@@ -191,7 +191,7 @@
 #[googletest::test]
 fn recovery_is_staged_and_colder_after_a_restart() {
     let open = repeated(Signal::Missed, 0, 200, 3);
-    let warm = then(open.clone(), &[Step::Signal(1000, Signal::Heard)]);
+    let warm = then(open.clone(), &[Step::Signal(1000, Signal::Acknowledged)]);
     let cold = then(open, &[Step::Signal(1000, Signal::Restarted)]);
     let share = |name, steps: &[Step], at_ms, share| Case {
         name,
--- a/crates/core/tests/policy_limits.rs
+++ b/crates/core/tests/policy_limits.rs
@@ -10,7 +10,7 @@
 };
 use hickorycross_core::Now;
 use hickorycross_core::limits::{
-    Admission, DemandReport, LimitTeams, REPORT_BYTES_PER_S, SharedLimits, Unlimited, report_bytes,
+    Admission, DemandReport, REPORT_BYTES_PER_S, SharedLimits, TeamLimiter, Unlimited, report_bytes,
 };
 use hickorycross_core::message::{TeamDemand, TeamTotal};
 use indexmap::IndexMap;
@@ -61,7 +61,7 @@
 fn shared(entries: usize, document: &Document) -> SharedLimits {
     let now = Now::at(START_MS);
     let mut limits = SharedLimits::new();
-    limits.set_entries(now, entries as u32);
+    limits.set_entry_count(now, entries as u32);
     limits.adopt(now, document);
     limits
 }
@@ -95,7 +95,7 @@
 type ReachesAt = fn(entry: usize, entries: usize, home: usize, moment_ms: u64) -> bool;
 
 struct Rig {
-    entries: Vec<Box<dyn LimitTeams>>,
+    entries: Vec<Box<dyn TeamLimiter>>,
     homes: IndexMap<BackendServerId, Home>,
     owed: Vec<f64>,
     demand: DemandAt,
@@ -105,7 +105,7 @@
 impl Rig {
     fn new(entries: usize, demand: DemandAt, reaches: ReachesAt) -> Self {
         let document = document(1, 6, LIMIT_PER_S);
-        let limits = |_| Box::new(shared(entries, &document)) as Box<dyn LimitTeams>;
+        let limits = |_| Box::new(shared(entries, &document)) as Box<dyn TeamLimiter>;
         let homes = document.backend_servers.iter().map(|one| (one.id.clone(), Home::default()));
         Self {
             entries: (0..entries).map(limits).collect(),
@@ -157,7 +157,7 @@
             return;
         }
         let totals = home.learn(now.unix_ms.0, entry, &report.demands);
-        self.entries[entry].learn(now, &report.to, &totals);
+        self.entries[entry].receive_totals(now, &report.to, &totals);
     }
 }
 
@@ -327,12 +327,12 @@
 fn without_an_instance_list_the_totals_tell_of_other_entries() {
     for entries in [2, 8] {
         let mut rig = Rig::new(entries, even, always);
-        rig.entries.iter_mut().for_each(|limits| limits.set_entries(Now::at(START_MS), 0));
+        rig.entries.iter_mut().for_each(|limits| limits.set_entry_count(Now::at(START_MS), 0));
         rig.run(0, 10_000);
         expect_that!(rig.run(10_000, 20_000).iter().sum::<f64>(), le(1.05));
     }
     let mut rig = Rig::new(8, even, |_, _, _, moment_ms| moment_ms < CUT_MS);
-    rig.entries.iter_mut().for_each(|limits| limits.set_entries(Now::at(START_MS), 0));
+    rig.entries.iter_mut().for_each(|limits| limits.set_entry_count(Now::at(START_MS), 0));
     rig.run(0, CUT_MS + 20_000);
     let admitted: f64 = rig.run(CUT_MS + 20_000, CUT_MS + 25_000).iter().sum();
     expect_that!(admitted, le(1.05), "also once the totals are gone");
--- a/crates/core/tests/policy_retry.rs
+++ b/crates/core/tests/policy_retry.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use hickorycross_config::{Balance, Document, Route, RouteId, SCHEMA_VERSION, Target};
-use hickorycross_core::retry::{BudgetRetries, FixedBudget, RetryDecision, TokenBudget};
+use hickorycross_core::retry::{FixedBudget, RetryBudget, RetryDecision, TokenBudget};
 use hickorycross_core::{Now, UnixMs};
 
 const ROUTE: &str = "cases";
@@ -42,14 +42,14 @@
 }
 
 /// Further tries when every try of `first_tries` requests fails.
-fn tries_when_all_fail(budget: &mut dyn BudgetRetries, first_tries: u32, every_ms: u64) -> u32 {
+fn tries_when_all_fail(budget: &mut dyn RetryBudget, first_tries: u32, every_ms: u64) -> u32 {
     let route = RouteId::new(ROUTE);
     let mut further = 0;
     for request in 0..first_tries {
         let now = Now::at(1_000_000 + u64::from(request) * every_ms);
-        budget.first_try(now, &route);
+        budget.record_first_try(now, &route);
         let mut tries = 1;
-        while budget.judge(now, &route, tries, now.after(60_000)) != RetryDecision::GiveUp {
+        while budget.decide(now, &route, tries, now.after(60_000)) != RetryDecision::GiveUp {
             tries += 1;
             further += 1;
         }
@@ -117,7 +117,7 @@
         let mut budget = token_budget(100, left_ms);
         let now = Now::at(1_000_000);
         let deadline = now.after(left_ms);
-        if let RetryDecision::RetryAt(at) = budget.judge(now, &route, 1, deadline) {
+        if let RetryDecision::RetryAt(at) = budget.decide(now, &route, 1, deadline) {
             expect_that!(at, lt(deadline));
         }
     }
@@ -131,7 +131,7 @@
 fn pauses_differ_between_entries_and_grow() {
     let route = RouteId::new(ROUTE);
     let now = Now::at(1_000_000);
-    let pause_ms = |seed: u64, tries: u16| match token_budget(100, seed).judge(
+    let pause_ms = |seed: u64, tries: u16| match token_budget(100, seed).decide(
         now,
         &route,
         tries,
@@ -157,6 +157,6 @@
     budget.adopt(&document(50));
     expect_that!(tries_when_all_fail(&mut budget, 1, 0), le(5 - used));
     let unknown = RouteId::new("unknown");
-    let decision = budget.judge(Now::at(1), &unknown, 1, UnixMs::NEVER);
+    let decision = budget.decide(Now::at(1), &unknown, 1, UnixMs::NEVER);
     expect_that!(decision, eq(RetryDecision::GiveUp));
 }
--- a/crates/core/tests/policy_routing.rs
+++ b/crates/core/tests/policy_routing.rs
@@ -4,7 +4,8 @@
 use hickorycross_config::{BackendServerId, FailureDomainId};
 use hickorycross_core::message::{AgentState, Load, TierWaiting};
 use hickorycross_core::routing::{
-    Candidate, Choice, ChooseBackend, LeastOutstanding, Pick, RoundRobin, TwoChoices,
+    Candidate, LeastOutstanding, RoundRobin, RoutingDecision, RoutingPolicy, RoutingRequest,
+    TwoChoices,
 };
 use hickorycross_core::{Now, UnixMs};
 
@@ -88,9 +89,14 @@
 
 const ASK: Ask = Ask { rank: 0, slack_ms: 2000, home: "elsewhere", prefix: None };
 
-fn choose(policy: &mut dyn ChooseBackend, now: Now, servers: &[Server], ask: Ask) -> Pick {
+fn choose(
+    policy: &mut dyn RoutingPolicy,
+    now: Now,
+    servers: &[Server],
+    ask: Ask,
+) -> RoutingDecision {
     let candidates: Vec<Candidate<'_>> = servers.iter().map(Server::candidate).collect();
-    let choice = Choice {
+    let choice = RoutingRequest {
         rank: ask.rank,
         deadline: now.after(ask.slack_ms),
         home: &FailureDomainId::new(ask.home),
@@ -101,10 +107,10 @@
 }
 
 /// Picks of each server in thousandths of all draws.
-fn picks_permille(policy: &mut dyn ChooseBackend, servers: &[Server], ask: Ask) -> Vec<usize> {
+fn picks_permille(policy: &mut dyn RoutingPolicy, servers: &[Server], ask: Ask) -> Vec<usize> {
     let mut picks = vec![0; servers.len()];
     for _ in 0..DRAWS {
-        if let Pick::Candidate(index) = choose(policy, START, servers, ask) {
+        if let RoutingDecision::Candidate(index) = choose(policy, START, servers, ask) {
             picks[index] += 1;
         }
     }
@@ -115,7 +121,7 @@
     let mut policy = TwoChoices::new(seed);
     for _ in 0..20 {
         for (server, first_chunk_ms) in servers.iter().zip(first_chunk_ms) {
-            policy.observe(START, &server.id, *first_chunk_ms);
+            policy.record_first_chunk(START, &server.id, *first_chunk_ms);
         }
     }
     policy
@@ -195,7 +201,7 @@
     let before = picks_permille(&mut policy, &servers, ASK);
     expect_that!(before[0], ge(900), "idle and sound, it is the best");
     for _ in 0..8 {
-        policy.failed(START, &servers[0].id);
+        policy.record_failure(START, &servers[0].id);
     }
     let after = picks_permille(&mut policy, &servers, ASK);
     expect_that!(after[0], le(10));
@@ -216,7 +222,7 @@
     expect_that!(baseline[0], eq(250), "the baseline sends it an even part");
     let later = Now::at(START.unix_ms.0 + 12_000);
     let picked = (0..400)
-        .filter(|_| choose(&mut policy, later, &servers, ASK) == Pick::Candidate(0))
+        .filter(|_| choose(&mut policy, later, &servers, ASK) == RoutingDecision::Candidate(0))
         .count();
     expect_that!(picked, ge(40));
 }
@@ -235,7 +241,7 @@
     }
     let drawn = |servers: &[Server]| {
         let picks = |seed| choose(&mut TwoChoices::new(seed), START, servers, ASK);
-        (0..400).filter(|&seed| picks(seed) == Pick::Candidate(0)).count()
+        (0..400).filter(|&seed| picks(seed) == RoutingDecision::Candidate(0)).count()
     };
     expect_that!(drawn(&stale), le(140));
     let fresh = servers(&[0, 6, 6, 6, 6, 6, 6, 6]);
@@ -243,8 +249,8 @@
 }
 
 /// Whether a request is sent at once.
-fn is_sent(pick: Pick) -> bool {
-    matches!(pick, Pick::Candidate(_))
+fn is_sent(pick: RoutingDecision) -> bool {
+    matches!(pick, RoutingDecision::Candidate(_))
 }
 
 struct AdmissionCase {
@@ -318,7 +324,7 @@
     for case in cases {
         let mut policy = TwoChoices::new(5);
         for (rank, count) in [(0, case.begun.0), (2, case.begun.1)] {
-            (0..count).for_each(|_| policy.began(START, rank));
+            (0..count).for_each(|_| policy.record_start(START, rank));
         }
         let server =
             |index| Server::new(index, SLOTS).waiting(0, case.waiting.0).waiting(2, case.waiting.1);
@@ -338,7 +344,7 @@
     for waiting in [40, 60, 90, 200] {
         let full = vec![Server::new(0, SLOTS).waiting(0, waiting)];
         let mut policy = TwoChoices::new(1);
-        let Pick::NoneInTime { retry_at } = choose(&mut policy, START, &full, ASK) else {
+        let RoutingDecision::Refuse { retry_at } = choose(&mut policy, START, &full, ASK) else {
             panic!("a queue of {waiting} must be refused");
         };
         expect_that!(retry_at, gt(START.unix_ms));
@@ -364,7 +370,7 @@
     for (floor_permille, sent) in [(0, false), (50, true)] {
         let mut policy = TwoChoices::new(1);
         policy.adopt(&floors::document(floor_permille));
-        (0..100).for_each(|_| policy.began(START, 0));
+        (0..100).for_each(|_| policy.record_start(START, 0));
         expect_that!(is_sent(choose(&mut policy, START, &servers, ask)), eq(sent));
     }
 }
@@ -379,11 +385,11 @@
     let ask = Ask { rank: 1, slack_ms: 2000, ..ASK };
     let mut policy = TwoChoices::new(1);
     expect_true!(is_sent(choose(&mut policy, START, &servers, ask)));
-    (0..8).for_each(|_| policy.expired(START, 1));
+    (0..8).for_each(|_| policy.record_expiry(START, 1));
     expect_false!(is_sent(choose(&mut policy, START, &servers, ask)));
     let first = Ask { rank: 0, ..ask };
     expect_true!(is_sent(choose(&mut policy, START, &servers, first)), "other tiers do not pay");
-    (0..2000).for_each(|_| policy.began(START, 1));
+    (0..2000).for_each(|_| policy.record_start(START, 1));
     expect_true!(is_sent(choose(&mut policy, START, &servers, ask)));
 }
 
@@ -397,7 +403,7 @@
         let holder = pick(0, &servers);
         let all_agree = (1..10).all(|seed| pick(seed, &servers) == holder);
         expect_true!(all_agree, "prefix {prefix}");
-        let Pick::Candidate(index) = holder else { continue };
+        let RoutingDecision::Candidate(index) = holder else { continue };
         servers[index].load.running = SLOTS;
         expect_that!(pick(0, &servers), not(eq(holder)), "a full holder is left alone");
         servers[index].load.running = 2;
--- a/crates/core/tests/start_probes.rs
+++ b/crates/core/tests/start_probes.rs
@@ -29,7 +29,7 @@
     let mut probed: IndexMap<InstanceId, u32> = IndexMap::new();
     for newcomer in 0..NEWCOMERS {
         let own = InstanceId::new(&format!("entry-{newcomer}"));
-        let probes = StartGate::new(own, LinkId(1)).listed(Now::at(0), &list);
+        let probes = StartGate::new(own, LinkId(1)).update_instances(Now::at(0), &list);
         let domain_of = |id: &InstanceId| {
             let row = list.iter().find(|row| row.id == *id);
             row.map(|row| row.failure_domain.clone())
--- a/crates/core/tests/whole_system/adapter.rs
+++ b/crates/core/tests/whole_system/adapter.rs
@@ -8,7 +8,7 @@
 use hickorycross_core::entry::{
     self, EntryAction, EntryCore, EntryEvent, EntryIdentity, EntryPolicies,
 };
-use hickorycross_core::health::{Graded, HealthOf};
+use hickorycross_core::health::{CircuitBreaker, HealthPolicy};
 use hickorycross_core::limits::SharedLimits;
 use hickorycross_core::message::{ToAgent, ToEntry};
 use hickorycross_core::retry::TokenBudget;
@@ -172,7 +172,7 @@
                 self.act(now, actions, &mut effects);
             }
             Input::Instances(list) => {
-                let probes = self.gate.listed(now, &list);
+                let probes = self.gate.update_instances(now, &list);
                 let open = |probe: hickorycross_core::adoption::Probe| Effect::Open {
                     link: probe.link,
                     address: probe.address,
@@ -228,10 +228,10 @@
         if hello.backend_server.is_none() {
             self.agent_event(now, AgentEvent::LinkOpened { link, entry }, effects);
         }
-        let actions = self.exchange.heard(now, link, hello.stamp);
+        let actions = self.exchange.learn_peer_stamp(now, link, hello.stamp);
         self.act(now, actions, effects);
         if self.gate.owns(link) {
-            self.gate.heard(link);
+            self.gate.peer_answered(link);
             self.settle_gate(effects);
         } else if let Some(backend_server) = hello.backend_server.clone() {
             let incarnation = hello.incarnation;
@@ -242,8 +242,8 @@
 
     fn closed(&mut self, now: Now, link: LinkId, effects: &mut Vec<Effect>) {
         self.links.swap_remove(&link);
-        self.gate.settled(link);
-        let actions = self.exchange.closed(now, link);
+        self.gate.link_closed(link);
+        let actions = self.exchange.link_closed(now, link);
         self.act(now, actions, effects);
         if !self.gate.owns(link) {
             self.entry_event(now, EntryEvent::LinkClosed { link }, effects);
@@ -252,7 +252,7 @@
     }
 
     fn settle_gate(&mut self, effects: &mut Vec<Effect>) {
-        for link in self.gate.settle(|link| self.exchange.awaits(link)) {
+        for link in self.gate.finish_peers(|link| self.exchange.awaits_document_from(link)) {
             self.links.swap_remove(&link);
             effects.push(Effect::Close { link });
         }
@@ -262,8 +262,8 @@
         let actions = match &frame {
             Frame::ToEntry(ToEntry::HeartbeatAck { stamp, .. })
             | Frame::ToAgent(ToAgent::Heartbeat { stamp, .. })
-            | Frame::Announce(stamp) => self.exchange.heard(now, link, *stamp),
-            Frame::ConfigRequest => self.exchange.requested(link).into_iter().collect(),
+            | Frame::Announce(stamp) => self.exchange.learn_peer_stamp(now, link, *stamp),
+            Frame::ConfigRequest => self.exchange.answer_request(link).into_iter().collect(),
             Frame::ConfigOffer { stamp, bytes } => self.exchange.peer_offer(now, *stamp, bytes),
             Frame::ToAgent(_) | Frame::ToEntry(_) => Vec::new(),
         };
@@ -289,7 +289,7 @@
                     let entry = EntryEvent::Adopted { stamp, document: entry };
                     self.both(now, entry, AgentEvent::Adopted { stamp, document: agent }, effects);
                 }
-                ExchangeAction::Rival(document) => {
+                ExchangeAction::ConflictingDocument(document) => {
                     self.agent_event(now, AgentEvent::Rival { document }, effects);
                 }
                 ExchangeAction::Announce { link, stamp } => {
@@ -322,7 +322,7 @@
         retries: Box::new(TokenBudget::new(seed)),
         health: Box::new(move || {
             let seed = next_health_seed.fetch_add(1, Ordering::Relaxed);
-            Box::new(Graded::new(seed)) as Box<dyn HealthOf>
+            Box::new(CircuitBreaker::new(seed)) as Box<dyn HealthPolicy>
         }),
     }
 }
--- a/crates/lab/src/capacity/entry.rs
+++ b/crates/lab/src/capacity/entry.rs
@@ -10,7 +10,7 @@
 use hickorycross_core::entry::{
     Arrival, EntryAction, EntryCore, EntryEvent, EntryIdentity, EntryPolicies, Wanted,
 };
-use hickorycross_core::health::{Graded, HealthOf};
+use hickorycross_core::health::{CircuitBreaker, HealthPolicy};
 use hickorycross_core::limits::SharedLimits;
 use hickorycross_core::message::{AgentState, Load, RequestHead, ResponseHead, ToAgent, ToEntry};
 use hickorycross_core::retry::TokenBudget;
@@ -48,7 +48,7 @@
         routing: Box::new(TwoChoices::new(SEED)),
         limits: Box::new(SharedLimits::new()),
         retries: Box::new(TokenBudget::new(SEED)),
-        health: Box::new(|| Box::new(Graded::new(SEED)) as Box<dyn HealthOf>),
+        health: Box::new(|| Box::new(CircuitBreaker::new(SEED)) as Box<dyn HealthPolicy>),
     }
 }
 
--- a/crates/lab/src/capacity/limits.rs
+++ b/crates/lab/src/capacity/limits.rs
@@ -5,7 +5,7 @@
 use super::measure::Effort;
 use hickorycross_config::TeamId;
 use hickorycross_core::Now;
-use hickorycross_core::limits::{LimitTeams, SharedLimits, report_bytes};
+use hickorycross_core::limits::{SharedLimits, TeamLimiter, report_bytes};
 
 const TEAMS: [u32; 5] = [8, 16, 65, 130, 260];
 const BACKENDS: u32 = 899;
@@ -20,7 +20,7 @@
 fn report_rates(teams: u32) -> (f64, f64) {
     let shape = FleetShape { backends: BACKENDS, teams, groups: 29, queue_slots: 256 };
     let mut limits = SharedLimits::new();
-    limits.set_entries(Now::at(0), ENTRIES);
+    limits.set_entry_count(Now::at(0), ENTRIES);
     limits.adopt(Now::at(0), &document(shape));
     let mut bytes = 0;
     let mut messages = 0_u32;
--- a/crates/lab/src/policy/entry.rs
+++ b/crates/lab/src/policy/entry.rs
@@ -10,10 +10,10 @@
 use super::wire::{Effect, ToBackend, ToEntry};
 use hickorycross_config::{BackendServerId, Document, FailureDomainId, RouteId, TeamId};
 use hickorycross_core::health::Signal;
-use hickorycross_core::limits::{Admission, LimitTeams};
+use hickorycross_core::limits::{Admission, TeamLimiter};
 use hickorycross_core::message::TeamTotal;
-use hickorycross_core::retry::BudgetRetries;
-use hickorycross_core::routing::{Candidate, Choice, ChooseBackend, Pick};
+use hickorycross_core::retry::RetryBudget;
+use hickorycross_core::routing::{Candidate, RoutingDecision, RoutingPolicy, RoutingRequest};
 use hickorycross_core::{Now, UnixMs};
 
 /// What all entries look at.
@@ -28,9 +28,9 @@
     pub(super) home: FailureDomainId,
     pub(super) route: RouteId,
     pub(super) teams: Vec<TeamId>,
-    pub(super) routing: Box<dyn ChooseBackend>,
-    pub(super) limits: Box<dyn LimitTeams>,
-    pub(super) retry: Box<dyn BudgetRetries>,
+    pub(super) routing: Box<dyn RoutingPolicy>,
+    pub(super) limits: Box<dyn TeamLimiter>,
+    pub(super) retry: Box<dyn RetryBudget>,
     pub(super) links: Vec<Link>,
     pub(super) open: OpenTable,
     pub(super) effects: Vec<Effect>,
@@ -48,7 +48,7 @@
         incarnations: &[u64],
     ) -> Self {
         let mut limits = set.limits();
-        limits.set_entries(now, entries as u32);
+        limits.set_entry_count(now, entries as u32);
         limits.adopt(now, document);
         let mut retry = set.retry(seed);
         retry.adopt(document);
@@ -89,7 +89,7 @@
             shared.ledger.ended(request, Outcome::Limited);
             return;
         }
-        self.retry.first_try(now, &self.route);
+        self.retry.record_first_try(now, &self.route);
         self.open.add(request);
         self.dispatch(now, shared, request);
     }
@@ -167,7 +167,7 @@
 
     fn learn(&mut self, now: Now, backend: usize, totals: &[TeamTotal]) {
         let from = self.links[backend].id().clone();
-        self.limits.learn(now, &from, totals);
+        self.limits.receive_totals(now, &from, totals);
     }
 
     fn dispatch(&mut self, now: Now, shared: &mut Shared<'_>, request: usize) {
@@ -207,7 +207,7 @@
         if candidates.is_empty() {
             return None;
         }
-        let choice = Choice {
+        let choice = RoutingRequest {
             rank: wanted.rank,
             deadline: UnixMs(wanted.deadline_ms),
             home: &self.home,
@@ -215,8 +215,8 @@
             candidates: &candidates,
         };
         match self.routing.choose(now, &choice) {
-            Pick::Candidate(index) => Some(indices[index]),
-            Pick::NoneInTime { .. } => None,
+            RoutingDecision::Candidate(index) => Some(indices[index]),
+            RoutingDecision::Refuse { .. } => None,
         }
     }
 
--- a/crates/lab/src/policy/link.rs
+++ b/crates/lab/src/policy/link.rs
@@ -2,7 +2,7 @@
 
 use super::fleet::{SLOTS, backend_id, domain_id, domain_of};
 use hickorycross_config::{BackendServerId, FailureDomainId};
-use hickorycross_core::health::{HealthOf, Signal, Standing};
+use hickorycross_core::health::{HealthPolicy, Signal, Standing};
 use hickorycross_core::message::Load;
 use hickorycross_core::routing::Candidate;
 use hickorycross_core::{Now, UnixMs};
@@ -20,7 +20,7 @@
 pub(crate) struct Link {
     id: BackendServerId,
     failure_domain: FailureDomainId,
-    pub(crate) health: Box<dyn HealthOf>,
+    pub(crate) health: Box<dyn HealthPolicy>,
     /// Its agent said that it takes nothing new.
     pub(crate) leaving: bool,
     incarnation: u64,
@@ -42,7 +42,7 @@
         entry: usize,
         backend: usize,
         incarnation: u64,
-        health: Box<dyn HealthOf>,
+        health: Box<dyn HealthPolicy>,
     ) -> Self {
         Self {
             id: backend_id(backend),
@@ -74,7 +74,7 @@
             self.leaving = false;
             self.health.signal(now, Signal::Restarted);
         }
-        self.health.signal(now, Signal::Heard);
+        self.health.signal(now, Signal::Acknowledged);
     }
 
     /// Takes a load report.
--- a/crates/lab/src/policy/outcome.rs
+++ b/crates/lab/src/policy/outcome.rs
@@ -29,7 +29,7 @@
             return;
         }
         if reason == RefusalReason::Expired {
-            self.routing.expired(now, attempt.rank);
+            self.routing.record_expiry(now, attempt.rank);
             self.end(shared, attempt.request, Outcome::Expired);
             return;
         }
@@ -48,8 +48,8 @@
         };
         open.began = true;
         let took_ms = now.unix_ms.0 - open.sent_ms;
-        self.routing.observe(now, self.links[backend].id(), took_ms);
-        self.routing.began(now, attempt.rank);
+        self.routing.record_first_chunk(now, self.links[backend].id(), took_ms);
+        self.routing.record_start(now, attempt.rank);
         shared.ledger.first_chunk(
             now.unix_ms.0,
             attempt.request,
@@ -69,7 +69,7 @@
         };
         let link = &mut self.links[open.backend];
         link.health.signal(now, Signal::Failed);
-        self.routing.failed(now, link.id());
+        self.routing.record_failure(now, link.id());
         if open.began {
             self.end(shared, request, Outcome::Failed);
             return;
@@ -86,7 +86,7 @@
     ) {
         let tries = self.open.tried(request).len() as u16;
         let deadline = UnixMs(shared.requests[request].deadline_ms);
-        match self.retry.judge(now, &self.route, tries, deadline) {
+        match self.retry.decide(now, &self.route, tries, deadline) {
             RetryDecision::RetryAt(at) => {
                 let after_ms = at.since(now.unix_ms);
                 self.effects.push(Effect::RetryIn { request, after_ms });
--- a/crates/lab/src/policy/overshoot.rs
+++ b/crates/lab/src/policy/overshoot.rs
@@ -4,7 +4,7 @@
 use super::fleet::{BACKENDS, START_MS, backend_id, document, team_id};
 use hickorycross_config::{BackendServerId, Document, TeamId};
 use hickorycross_core::Now;
-use hickorycross_core::limits::{Admission, LimitTeams, SharedLimits, report_bytes};
+use hickorycross_core::limits::{Admission, SharedLimits, TeamLimiter, report_bytes};
 use hickorycross_core::message::TeamTotal;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -126,7 +126,7 @@
             .map(|_| {
                 let now = Now::at(START_MS);
                 let mut limits = SharedLimits::new();
-                limits.set_entries(now, case.entries as u32);
+                limits.set_entry_count(now, case.entries as u32);
                 limits.adopt(now, &document);
                 limits
             })
@@ -202,7 +202,7 @@
         for (_, entry, from, totals) in due {
             let home = (0..BACKENDS).find(|&home| backend_id(home) == from).unwrap_or(0);
             if self.reaches(moment_ms, entry, home) {
-                self.limits[entry].learn(now, &from, &totals);
+                self.limits[entry].receive_totals(now, &from, &totals);
             }
         }
     }
--- a/crates/lab/src/policy/policies.rs
+++ b/crates/lab/src/policy/policies.rs
@@ -1,11 +1,11 @@
 //! The sets of policies that are compared.
 
 use super::queue::Order;
-use hickorycross_core::health::{AlwaysUp, Graded, HealthOf};
-use hickorycross_core::limits::{LimitTeams, SharedLimits, Unlimited};
-use hickorycross_core::retry::{BudgetRetries, FixedBudget, TokenBudget};
+use hickorycross_core::health::{AlwaysUp, CircuitBreaker, HealthPolicy};
+use hickorycross_core::limits::{SharedLimits, TeamLimiter, Unlimited};
+use hickorycross_core::retry::{FixedBudget, RetryBudget, TokenBudget};
 use hickorycross_core::routing::{
-    ChooseBackend, LeastOutstanding, RawTwoChoices, RoundRobin, TwoChoices,
+    LeastOutstanding, RawTwoChoices, RoundRobin, RoutingPolicy, TwoChoices,
 };
 
 /// One set of policies.
@@ -65,7 +65,7 @@
     }
 
     /// Routing of one entry.
-    pub(crate) fn routing(self, seed: u64) -> Box<dyn ChooseBackend> {
+    pub(crate) fn routing(self, seed: u64) -> Box<dyn RoutingPolicy> {
         match self {
             Self::RoundRobin | Self::Plain => Box::new(RoundRobin::default()),
             Self::LeastOutstanding => Box::new(LeastOutstanding::default()),
@@ -77,7 +77,7 @@
     }
 
     /// Limits of one entry.
-    pub(crate) fn limits(self) -> Box<dyn LimitTeams> {
+    pub(crate) fn limits(self) -> Box<dyn TeamLimiter> {
         match self {
             Self::Plain => Box::new(Unlimited),
             _ => Box::new(SharedLimits::new()),
@@ -85,15 +85,15 @@
     }
 
     /// Health of one backend server as one entry sees it.
-    pub(crate) fn health(self, seed: u64) -> Box<dyn HealthOf> {
+    pub(crate) fn health(self, seed: u64) -> Box<dyn HealthPolicy> {
         match self {
             Self::Plain | Self::AlwaysUp => Box::new(AlwaysUp),
-            _ => Box::new(Graded::new(seed)),
+            _ => Box::new(CircuitBreaker::new(seed)),
         }
     }
 
     /// Retries of one entry.
-    pub(crate) fn retry(self, seed: u64) -> Box<dyn BudgetRetries> {
+    pub(crate) fn retry(self, seed: u64) -> Box<dyn RetryBudget> {
         match self {
             Self::Plain | Self::FixedTries => Box::new(FixedBudget::default()),
             _ => Box::new(TokenBudget::new(seed)),
--- a/crates/runtime/src/follower.rs
+++ b/crates/runtime/src/follower.rs
@@ -19,7 +19,7 @@
 pub struct FollowerParts {
     /// The process's own instance.
     pub own: InstanceId,
-    /// The first of [`StartGate::links`] link numbers that nothing else uses.
+    /// The first of [`StartGate::link_count`] link numbers that nothing else uses.
     pub first_gate_link: LinkId,
     /// Reaches the peers.
     pub links: Links,
@@ -110,8 +110,8 @@
     /// Forgets a link that has ended.
     #[must_use = "the core has to hear of the document"]
     pub fn closed(&mut self, now: Now, link: LinkId) -> Option<Followed> {
-        self.gate.settled(link);
-        let actions = self.exchange.closed(now, link);
+        self.gate.link_closed(link);
+        let actions = self.exchange.link_closed(now, link);
         self.act(actions)
     }
 
@@ -120,7 +120,7 @@
     pub fn greeted(&mut self, now: Now, link: LinkId, stamp: Stamp) -> Option<Followed> {
         let followed = self.heard(now, link, stamp);
         if self.gate.owns(link) {
-            self.gate.heard(link);
+            self.gate.peer_answered(link);
             self.settle_gate();
         }
         followed
@@ -129,7 +129,7 @@
     /// Learns from a heartbeat or an announcement what is in force at a peer.
     #[must_use = "the core has to hear of the document"]
     pub fn heard(&mut self, now: Now, link: LinkId, stamp: Stamp) -> Option<Followed> {
-        let actions = self.exchange.heard(now, link, stamp);
+        let actions = self.exchange.learn_peer_stamp(now, link, stamp);
         self.act(actions)
     }
 
@@ -140,7 +140,7 @@
         match frame {
             Frame::Announce(stamp) => self.heard(now, link, *stamp),
             Frame::ConfigRequest => {
-                let actions = self.exchange.requested(link).into_iter().collect();
+                let actions = self.exchange.answer_request(link).into_iter().collect();
                 self.act(actions)
             }
             Frame::ConfigOffer(offer) => self.offered(now, offer),
@@ -204,7 +204,7 @@
     fn listed(&mut self, now: Now, instances: &[Instance]) {
         self.watches = is_watcher(&self.parts.own, instances);
         self.choose_follow();
-        for Probe { link, address, .. } in self.gate.listed(now, instances) {
+        for Probe { link, address, .. } in self.gate.update_instances(now, instances) {
             self.parts.links.open(link, address);
         }
     }
@@ -222,7 +222,7 @@
 
     /// Closes the links of the start gate from which nothing newer is to come.
     fn settle_gate(&mut self) {
-        for link in self.gate.settle(|link| self.exchange.awaits(link)) {
+        for link in self.gate.finish_peers(|link| self.exchange.awaits_document_from(link)) {
             self.parts.links.close(link);
         }
     }
@@ -238,7 +238,9 @@
                     self.parts.view.update(|status| status.stamp = stamp);
                     followed = Some(Followed::Adopted { stamp, document });
                 }
-                ExchangeAction::Rival(document) => followed = Some(Followed::Rival(document)),
+                ExchangeAction::ConflictingDocument(document) => {
+                    followed = Some(Followed::Rival(document))
+                }
                 ExchangeAction::Announce { link, stamp } => {
                     self.parts.links.send(link, Frame::Announce(stamp));
                 }
