--- a/crates/core/src/limits/mod.rs
+++ b/crates/core/src/limits/mod.rs
@@ -1,11 +1,12 @@
-//! Team limits that hold over all entries without shared state.
+//! Rate limits of teams, enforced across all entries without shared state.
 //!
-//! [`SharedLimits`] is the policy in use: a token bucket for each team whose rate is this entry's
-//! share of the team's limit. The share follows measured demand, which two home agents for each
-//! team sum up.
+//! [`SharedLimits`] is the production policy. Each entry keeps a token bucket per team, whose rate
+//! is the entry's share of the team's limit. Entries report the demand that they measure to two
+//! home agents per team; the agents reply with the total over all entries, and each entry sets its
+//! share in proportion to its part of that total.
 
 mod bucket;
-mod homes;
+mod home_agents;
 mod policy;
 mod rate;
 mod reports;
--- a/crates/core/src/limits/policy.rs
+++ b/crates/core/src/limits/policy.rs
@@ -1,44 +1,44 @@
-//! What an entry asks of team limits, and what it answers.
+//! The interface between an entry and the policy that enforces team limits.
 
 use crate::message::{TeamDemand, TeamTotal};
 use crate::time::{Now, UnixMs};
 use hickorycross_config::{BackendServerId, Document, TeamId};
 
-/// Whether a team's request is within its limit.
+/// The decision on one request of a team.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is; it has been counted.
+    /// The request is within the team's limit and has been counted against it.
     Within,
-    /// It is not.
+    /// The request exceeds the team's limit and must be refused.
     Exceeded {
-        /// When the team's share at this entry has room again.
+        /// When this entry expects to admit the team's next request.
         retry_at: UnixMs,
     },
 }
 
-/// Demand to be told to the agent that sums up some teams.
+/// A report of this entry's demand to an agent that adds up the demand of all entries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DemandReport {
-    /// The backend server whose agent sums them up.
+    /// The backend server whose agent receives the report.
     pub to: BackendServerId,
-    /// Demand of this entry.
+    /// The request rate that this entry measures for each reported team.
     pub demands: Vec<TeamDemand>,
 }
 
-/// Team limits at one entry.
+/// Enforces the request rate limits of all teams at one entry.
 pub trait TeamLimiter: Send {
-    /// Follows another document.
+    /// Applies a newly adopted configuration document.
     fn adopt(&mut self, now: Now, document: &Document);
 
-    /// Learns how many entries the instance list names as live.
+    /// Sets the number of entries that the instance list names as live; zero while unknown.
     fn set_entry_count(&mut self, now: Now, entries: u32);
 
-    /// Counts a request of a team and judges it.
+    /// Counts a request of a team and decides whether it is admitted.
     fn admit(&mut self, now: Now, team: &TeamId) -> Admission;
 
-    /// Demand reports that are due, few and small.
+    /// Returns the demand reports to send now, limited in number and size.
     fn due_reports(&mut self, now: Now) -> Vec<DemandReport>;
 
-    /// Learns totals from the agent of a backend server.
+    /// Takes the totals over all entries that the agent of a backend server sent in reply.
     fn receive_totals(&mut self, now: Now, from: &BackendServerId, totals: &[TeamTotal]);
 }
--- a/crates/core/src/limits/reports.rs
+++ b/crates/core/src/limits/reports.rs
@@ -1,4 +1,4 @@
-//! Which demands are told to which home agent, and when.
+//! Batching of demand reports by home agent, within a network budget.
 
 use super::policy::DemandReport;
 use crate::message::TeamDemand;
@@ -6,23 +6,23 @@
 use hickorycross_config::BackendServerId;
 use indexmap::IndexMap;
 
-/// Bytes a second that reports and their answers may take on the network, by estimate.
+/// Estimated bytes per second that reports and their replies may take on the network.
 ///
-/// A node may spend 5 KB a second on control in all; heartbeats, load reports and configuration
-/// need the rest.
+/// An instance may spend 5 KB per second on control traffic in all; heartbeats, load reports and
+/// configuration need the rest.
 pub const REPORT_BYTES_PER_S: u64 = 2000;
 
-/// Bytes that may be spent at once after a quiet time.
+/// Most unspent bytes that accumulate while no reports are sent.
 const BURST_BYTES: f64 = 2000.0;
 
-/// Estimated bytes of one report and its answer besides the demands: IP, UDP, QUIC and framing,
-/// twice.
+/// Estimated bytes of one report and its reply without the demands: IP, UDP, QUIC and framing
+/// overhead, counted twice.
 const MESSAGE_BYTES: u64 = 140;
 
-/// Estimated bytes of one demand and its total besides the team's name: rates, a count, lengths.
+/// Estimated bytes of one demand and its total without the team's name: rates, a count, lengths.
 const DEMAND_BYTES: u64 = 14;
 
-/// Estimated bytes of a report and its answer.
+/// Returns the estimated bytes of a report and its reply on the network.
 #[must_use]
 pub fn report_bytes(report: &DemandReport) -> u64 {
     let demands: u64 = report.demands.iter().map(demand_bytes).sum();
@@ -33,7 +33,7 @@
     DEMAND_BYTES + 2 * demand.team.as_str().len() as u64
 }
 
-/// Bytes that may still be spent.
+/// The bytes that reports may still use; refills at [`REPORT_BYTES_PER_S`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ByteBudget {
     bytes: f64,
@@ -47,15 +47,15 @@
 }
 
 impl ByteBudget {
-    /// Brings the budget up to now.
+    /// Adds the bytes earned since the last update.
     pub(super) fn fill(&mut self, now: Now) {
-        let passed_ms = now.unix_ms.since(self.updated) as f64;
-        let filled = self.bytes + REPORT_BYTES_PER_S as f64 * passed_ms / 1000.0;
+        let elapsed_ms = now.unix_ms.since(self.updated) as f64;
+        let filled = self.bytes + REPORT_BYTES_PER_S as f64 * elapsed_ms / 1000.0;
         self.bytes = filled.min(BURST_BYTES);
         self.updated = now.unix_ms;
     }
 
-    /// Takes what a report costs if there is as much.
+    /// Deducts the cost of a report, or returns false if the budget is too low.
     pub(super) fn spend(&mut self, report: &DemandReport) -> bool {
         let cost = report_bytes(report) as f64;
         if cost > self.bytes {
@@ -66,19 +66,19 @@
     }
 }
 
-/// Demands that are due, batched by home in the order in which the first of each home is due.
+/// Due demands grouped by home agent, ordered by the earliest due demand of each agent.
 #[derive(Debug, Default)]
-pub(super) struct Batches {
+pub(super) struct ReportBatches {
     by_home: IndexMap<BackendServerId, Vec<TeamDemand>>,
 }
 
-impl Batches {
-    /// Adds a demand for a home.
+impl ReportBatches {
+    /// Adds a demand to the report for a home agent.
     pub(super) fn add(&mut self, home: &BackendServerId, demand: TeamDemand) {
         self.by_home.entry(home.clone()).or_default().push(demand);
     }
 
-    /// The reports.
+    /// Returns one report for each home agent.
     pub(super) fn into_reports(self) -> impl Iterator<Item = DemandReport> {
         self.by_home.into_iter().map(|(to, demands)| DemandReport { to, demands })
     }
--- a/crates/core/src/limits/share.rs
+++ b/crates/core/src/limits/share.rs
@@ -1,71 +1,74 @@
-//! Which part of a team's limit belongs to this entry.
+//! The fraction of a team's limit that this entry may use.
 //!
-//! The limit is split in proportion to demand. Safety rests on two rules. A smaller share applies
-//! at once; a larger one waits until the entries that must give way have heard of it. And what an
-//! entry that has fallen silent may still use is left aside for it.
+//! The limit is split in proportion to demand. Two rules keep the sum of all shares within the
+//! limit. First, a smaller share applies at once, while a larger one waits until the entries whose
+//! shares shrink have received the new totals. Second, the fraction that an entry may still use
+//! after it stopped reporting is reserved for it.
 
-use super::homes::HOMES;
+use super::home_agents::HOME_AGENTS_PER_TEAM;
 use crate::message::TeamTotal;
 use crate::time::{Now, UnixMs};
 
-/// Part of each limit that is split evenly, whatever the demand, so that an entry at which a team
-/// newly appears can serve it before any total is known.
-const EVEN_PART: f64 = 0.05;
+/// Fraction of each limit that is split evenly whatever the demand, so that an entry can serve a
+/// team that is new to it before it receives a total.
+const EVEN_FRACTION: f64 = 0.05;
 
-/// How long a larger share waits. The other entries have asked for new totals by then.
+/// How long a larger share waits before it applies; the other entries have fetched new totals by
+/// then.
 ///
-/// Without the wait, an entry whose demand jumps takes its larger share while the others still use
-/// theirs, and the team runs over its limit by the sum of both until they ask again.
+/// Without the wait, an entry whose demand jumps uses its larger share while the others still use
+/// their old ones, and the team exceeds its limit until they fetch new totals.
 pub(super) const INCREASE_WAIT_MS: u64 = 2500;
 
-/// A share that grows by no more than this part applies at once: noise of measured demand would
-/// otherwise keep every entry waiting for a little more, below its share for good.
+/// A share that grows by no more than this fraction applies at once. Otherwise noise in the
+/// measured demand would keep every entry waiting for a slightly larger share all the time.
 const SMALL_INCREASE: f64 = 0.02;
 
-/// How long totals hold. An entry that hears nothing for so long is cut off, or its home agents
-/// are gone.
-pub(super) const TOTALS_HOLD_MS: u64 = 5000;
+/// How long a total stays valid. An entry that receives none for this long is partitioned from its
+/// home agents, or they are down.
+pub(super) const TOTALS_TTL_MS: u64 = 5000;
 
-/// How long a share below the fair one waits after totals have ceased to hold. Home agents forget
-/// an entry ten seconds after its last report; the others ask once a second.
-const FALL_BACK_MS: u64 = 7000;
+/// How long a share below the fair one waits before it rises to it, once no total is valid. Home
+/// agents forget an entry ten seconds after its last report, and the other entries fetch totals
+/// once a second.
+const FALLBACK_WAIT_MS: u64 = 7000;
 
 /// How long the largest number of entries in a total is remembered.
 ///
-/// When entries drop out of the total together, they are most likely on the other side of a cut
-/// and serve on; the platform's list still names them. Their even parts are left aside until the
-/// list drops them or this time has passed.
-const PEAK_HOLD_MS: u64 = 300_000;
+/// Entries that disappear from the total together are most likely on the other side of a network
+/// partition and still serving; the platform's instance list still names them. Their fair shares
+/// stay reserved until the list drops them or this time has passed.
+const PEAK_TTL_MS: u64 = 300_000;
 
-/// Part of its limit from which on a team's total counts as close to it.
-const TIGHT_PART: f64 = 0.6;
+/// Fraction of its limit above which a team's total demand counts as close to the limit.
+const NEAR_LIMIT_FRACTION: f64 = 0.6;
 
-/// What one home agent said last.
+/// The latest total from one home agent.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HomeTotal {
-    /// Demand that this entry had told it.
-    pub(super) told_per_s: f64,
-    /// Demand over all entries.
+pub(super) struct HomeAgentTotal {
+    /// Demand that this entry had reported to the agent before the total arrived.
+    pub(super) reported_per_s: f64,
+    /// Demand over all entries, in requests per second.
     pub(super) total_per_s: f64,
-    /// Entries in the total.
+    /// Number of entries in the total.
     pub(super) entries: u32,
-    /// Until when it holds.
-    pub(super) holds_until: UnixMs,
+    /// When the total expires.
+    pub(super) valid_until: UnixMs,
 }
 
-impl HomeTotal {
-    /// Joins an answer with what this entry had reported before it.
-    pub(super) fn new(now: Now, told_per_s: f64, total: &TeamTotal) -> Self {
+impl HomeAgentTotal {
+    /// Combines a received total with the demand that this entry had reported before it.
+    pub(super) fn new(now: Now, reported_per_s: f64, total: &TeamTotal) -> Self {
         Self {
-            told_per_s,
+            reported_per_s,
             total_per_s: f64::from(total.requests_per_s),
             entries: total.entries,
-            holds_until: now.after(TOTALS_HOLD_MS),
+            valid_until: now.after(TOTALS_TTL_MS),
         }
     }
 }
 
-/// A larger share that waits.
+/// A larger share that does not apply yet.
 #[derive(Clone, Copy, Debug)]
 struct Increase {
     fraction: f64,
@@ -77,27 +80,27 @@
 pub(super) struct Share {
     fraction: f64,
     increase: Option<Increase>,
-    /// Whether the present share comes from hearing nothing.
+    /// Whether the share was set without a valid total.
     fallen_back: bool,
-    homes: [Option<HomeTotal>; HOMES],
+    homes: [Option<HomeAgentTotal>; HOME_AGENTS_PER_TEAM],
     peak_entries: u32,
-    peak_until: UnixMs,
+    peak_valid_until: UnixMs,
 }
 
 impl Share {
-    /// Begins with the fair share: nothing is known of the others.
+    /// Creates a share that starts at the fair one, as the demand at other entries is unknown.
     pub(super) fn fair(entries: u32) -> Self {
         Self {
             fraction: fair_fraction(entries),
             increase: None,
             fallen_back: true,
-            homes: [None; HOMES],
+            homes: [None; HOME_AGENTS_PER_TEAM],
             peak_entries: 0,
-            peak_until: UnixMs::default(),
+            peak_valid_until: UnixMs::default(),
         }
     }
 
-    /// The part of the limit that may be used now, from 0 to 1.
+    /// Returns the fraction of the limit that this entry may use now, from 0 to 1.
     pub(super) fn fraction(&mut self, now: Now, entries: u32) -> f64 {
         let entries = self.entries_or_peak(entries);
         if self.is_stale(now) {
@@ -108,8 +111,14 @@
         self.fraction
     }
 
-    /// Learns a total from one of the two home agents.
-    pub(super) fn learn(&mut self, now: Now, entries: u32, home: usize, total: HomeTotal) {
+    /// Takes a total from the home agent at index `home` and updates the share.
+    pub(super) fn receive_total(
+        &mut self,
+        now: Now,
+        entries: u32,
+        home: usize,
+        total: HomeAgentTotal,
+    ) {
         self.fraction(now, entries);
         if std::mem::take(&mut self.fallen_back) {
             self.increase = None;
@@ -118,55 +127,58 @@
         self.remember_peak(now, total.entries);
         let entries = self.entries_or_peak(entries);
         let target = self.target(now, entries);
-        self.approach(now, target);
+        self.move_towards(now, target);
     }
 
-    /// Forgets totals: other agents sum up the team from now on.
-    pub(super) fn forget_homes(&mut self) {
-        self.homes = [None; HOMES];
+    /// Discards all totals, because the team's home agents have changed.
+    pub(super) fn forget_totals(&mut self) {
+        self.homes = [None; HOME_AGENTS_PER_TEAM];
         self.increase = None;
     }
 
-    /// Whether no total holds.
+    /// Whether no total is valid.
     pub(super) fn is_stale(&self, now: Now) -> bool {
-        self.holding(now).next().is_none()
+        self.valid_totals(now).next().is_none()
     }
 
-    /// Demand at the average entry.
+    /// Returns the mean demand per entry, or none without a valid total.
     pub(super) fn mean_per_s(&self, now: Now) -> Option<f64> {
-        let means = self.holding(now).filter(|home| home.entries > 0);
+        let means = self.valid_totals(now).filter(|home| home.entries > 0);
         means.map(|home| home.total_per_s / f64::from(home.entries)).reduce(f64::max)
     }
 
-    /// Whether the team's demand over all entries is close to `limit_per_s` or unknown.
-    pub(super) fn is_tight(&self, now: Now, limit_per_s: f64) -> bool {
-        let largest = self.holding(now).map(|home| home.total_per_s).reduce(f64::max);
-        largest.is_none_or(|total_per_s| total_per_s > limit_per_s * TIGHT_PART)
+    /// Whether the team's demand over all entries is unknown or close to `limit_per_s`.
+    pub(super) fn is_near_limit(&self, now: Now, limit_per_s: f64) -> bool {
+        let largest = self.valid_totals(now).map(|home| home.total_per_s).reduce(f64::max);
+        largest.is_none_or(|total_per_s| total_per_s > limit_per_s * NEAR_LIMIT_FRACTION)
     }
 
-    /// The number of entries by the instance list, or while that is unknown by the totals.
+    /// Returns the number of entries by the instance list, or by the totals while the list is
+    /// unknown.
     ///
-    /// Without the latter, entries that start while the platform's list cannot be read would each
-    /// take themselves for the only one.
+    /// Without the totals, entries that start while the platform's list cannot be read would each
+    /// assume that they are the only one.
     fn entries_or_peak(&self, entries: u32) -> u32 {
         if entries == 0 { self.peak_entries } else { entries }
     }
 
-    fn holding(&self, now: Now) -> impl Iterator<Item = &HomeTotal> {
-        self.homes.iter().flatten().filter(move |home| !home.holds_until.is_past(now))
+    fn valid_totals(&self, now: Now) -> impl Iterator<Item = &HomeAgentTotal> {
+        self.homes.iter().flatten().filter(move |home| !home.valid_until.is_past(now))
     }
 
-    /// An entry that hears nothing keeps to what every entry would have if demand were even.
-    /// Keeping the last share would let an entry that had much demand use it for the whole cut,
-    /// while the other side splits the same limit among those it still hears of.
+    /// Moves the share to the fair one, `1 / entries`, while no total is valid.
+    ///
+    /// Keeping the last share would let an entry with much demand use it throughout a partition,
+    /// while the other side splits the same limit among the entries that still report.
     ///
     /// A smaller share rises to the fair one only when the home agents, too, have forgotten this
-    /// entry and left its part aside; until then the others use it.
+    /// entry, and the other entries reserve its fair share; until then they use it.
     fn fall_back(&mut self, now: Now, entries: u32) {
         let fair = fair_fraction(entries);
         if !self.fallen_back {
             self.fallen_back = true;
-            self.increase = Some(Increase { fraction: fair, applies_at: now.after(FALL_BACK_MS) });
+            self.increase =
+                Some(Increase { fraction: fair, applies_at: now.after(FALLBACK_WAIT_MS) });
         }
         if self.fraction > fair {
             self.fraction = fair;
@@ -182,30 +194,33 @@
     }
 
     fn remember_peak(&mut self, now: Now, entries: u32) {
-        if entries >= self.peak_entries || self.peak_until.is_past(now) {
+        if entries >= self.peak_entries || self.peak_valid_until.is_past(now) {
             self.peak_entries = entries;
-            self.peak_until = now.after(PEAK_HOLD_MS);
+            self.peak_valid_until = now.after(PEAK_TTL_MS);
         }
     }
 
-    /// The smaller of the parts that the two homes' totals give.
+    /// Returns the smaller of the shares that follow from the totals of the two home agents.
     fn target(&self, now: Now, entries: u32) -> f64 {
-        self.holding(now)
-            .map(|home| self.target_by(home, entries))
+        self.valid_totals(now)
+            .map(|home| self.target_from(home, entries))
             .reduce(f64::min)
             .unwrap_or_else(|| fair_fraction(entries))
     }
 
-    fn target_by(&self, home: &HomeTotal, entries: u32) -> f64 {
+    /// Returns the share in proportion to demand by one total, after the fair shares of entries
+    /// that stopped reporting are subtracted.
+    fn target_from(&self, home: &HomeAgentTotal, entries: u32) -> f64 {
         let fair = fair_fraction(entries);
         let silent = self.peak_entries.min(entries).saturating_sub(home.entries);
-        let left = 1.0 - f64::from(silent) * fair;
-        let total_per_s = home.total_per_s.max(home.told_per_s);
-        let proportion = if total_per_s > 0.0 { home.told_per_s / total_per_s } else { fair };
-        left * (1.0 - EVEN_PART) * proportion + EVEN_PART * fair
+        let remaining = 1.0 - f64::from(silent) * fair;
+        let total_per_s = home.total_per_s.max(home.reported_per_s);
+        let proportion = if total_per_s > 0.0 { home.reported_per_s / total_per_s } else { fair };
+        remaining * (1.0 - EVEN_FRACTION) * proportion + EVEN_FRACTION * fair
     }
 
-    fn approach(&mut self, now: Now, target: f64) {
+    /// Applies a smaller target at once; lets a larger one wait for [`INCREASE_WAIT_MS`].
+    fn move_towards(&mut self, now: Now, target: f64) {
         if target <= self.fraction * (1.0 + SMALL_INCREASE) {
             self.fraction = target;
             self.increase = None;
--- a/crates/core/src/limits/shared.rs
+++ b/crates/core/src/limits/shared.rs
@@ -1,20 +1,22 @@
-//! The limits in use: each entry holds its measured share of every team's limit.
+//! The production policy: each entry enforces its share of every team's limit.
 
 use super::policy::{Admission, DemandReport, TeamLimiter};
-use super::reports::{Batches, ByteBudget};
+use super::reports::{ByteBudget, ReportBatches};
 use super::team::TeamRow;
 use crate::message::{TeamDemand, TeamTotal};
 use crate::time::{Now, UnixMs};
 use hickorycross_config::{BackendServerId, Document, TeamId};
 use indexmap::IndexMap;
 
-/// When a team that the document does not name may ask again.
-const UNKNOWN_TEAM_RETURN_MS: u64 = 1000;
+/// Retry delay named to a team that the document does not contain.
+const UNKNOWN_TEAM_RETRY_MS: u64 = 1000;
 
-/// Most demands in one report, so that one fits into one datagram.
-const REPORT_DEMANDS: usize = 32;
+/// Most demands in one report, so that a report fits into one datagram.
+const MAX_DEMANDS_PER_REPORT: usize = 32;
 
-/// Team limits by measured shares; see the module `share` for the rules of safety.
+/// Enforces each team's limit by an entry's share of it, which follows measured demand.
+///
+/// The module `share` explains how the shares of all entries stay within the limit.
 #[derive(Clone, Debug)]
 pub struct SharedLimits {
     teams: IndexMap<TeamId, TeamRow>,
@@ -29,30 +31,32 @@
     }
 }
 
-/// A report that is due.
+/// A demand that is due to be reported, by the indices of its team and home agent.
 #[derive(Clone, Copy, Debug)]
-struct Due {
+struct DueDemand {
     at: UnixMs,
     team: usize,
     home: usize,
 }
 
 impl SharedLimits {
-    /// Begins without teams and without knowledge of other entries.
+    /// Creates limits without teams and with an unknown number of entries.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Reports that are due, longest overdue first.
-    fn due(&self, now: Now) -> Vec<Due> {
+    /// Returns the demands that are due to be reported, longest overdue first.
+    ///
+    /// A team without demand is reported only while the home agent still holds a demand above zero.
+    fn due_demands(&self, now: Now) -> Vec<DueDemand> {
         let mut due = Vec::new();
         for (team, row) in self.teams.values().enumerate() {
             let active = row.demand_per_s(now) > 0.0;
             for (home, home_row) in row.homes.iter().enumerate() {
-                let untold = home_row.told_per_s > 0.0;
-                if home_row.report_due.is_past(now) && (active || untold) {
-                    due.push(Due { at: home_row.report_due, team, home });
+                let has_reported_demand = home_row.reported_per_s > 0.0;
+                if home_row.report_due.is_past(now) && (active || has_reported_demand) {
+                    due.push(DueDemand { at: home_row.report_due, team, home });
                 }
             }
         }
@@ -60,8 +64,8 @@
         due
     }
 
-    fn batches(&self, now: Now, due: &[Due]) -> Batches {
-        let mut batches = Batches::default();
+    fn batches(&self, now: Now, due: &[DueDemand]) -> ReportBatches {
+        let mut batches = ReportBatches::default();
         for due in due {
             let row = &self.teams[due.team];
             let Some((team, _)) = self.teams.get_index(due.team) else { continue };
@@ -72,13 +76,13 @@
         batches
     }
 
-    fn told(&mut self, now: Now, report: &DemandReport) {
+    fn mark_reported(&mut self, now: Now, report: &DemandReport) {
         for demand in &report.demands {
             let Some(row) = self.teams.get_mut(&demand.team) else { continue };
-            let next = now.after(row.period_ms(now));
+            let next = now.after(row.report_period_ms(now));
             for home in row.homes.iter_mut().filter(|home| home.id == report.to) {
                 home.report_due = next;
-                home.told_per_s = f64::from(demand.requests_per_s);
+                home.reported_per_s = f64::from(demand.requests_per_s);
             }
         }
     }
@@ -107,7 +111,7 @@
     fn admit(&mut self, now: Now, team: &TeamId) -> Admission {
         let entries = self.entries;
         let Some(row) = self.teams.get_mut(team) else {
-            return Admission::Exceeded { retry_at: now.after(UNKNOWN_TEAM_RETURN_MS) };
+            return Admission::Exceeded { retry_at: now.after(UNKNOWN_TEAM_RETRY_MS) };
         };
         match row.admit(now, entries) {
             Ok(()) => Admission::Within,
@@ -117,14 +121,14 @@
 
     fn due_reports(&mut self, now: Now) -> Vec<DemandReport> {
         self.budget.fill(now);
-        let due = self.due(now);
+        let due = self.due_demands(now);
         let mut sent = Vec::new();
         for mut report in self.batches(now, &due).into_reports() {
-            report.demands.truncate(REPORT_DEMANDS);
+            report.demands.truncate(MAX_DEMANDS_PER_REPORT);
             if !self.budget.spend(&report) {
                 break;
             }
-            self.told(now, &report);
+            self.mark_reported(now, &report);
             sent.push(report);
         }
         sent
@@ -134,7 +138,7 @@
         let entries = self.entries;
         for total in totals {
             if let Some(row) = self.teams.get_mut(&total.team) {
-                row.learn(now, entries, from, total);
+                row.receive_total(now, entries, from, total);
             }
         }
     }
--- a/crates/core/src/limits/team.rs
+++ b/crates/core/src/limits/team.rs
@@ -1,85 +1,85 @@
-//! One team at one entry.
+//! The state of one team's limit at one entry.
 
-use super::bucket::{Bucket, Flow};
-use super::homes::homes_of;
+use super::bucket::{Bucket, BucketParams};
+use super::home_agents::home_agents_of;
 use super::rate::ArrivalRate;
-use super::share::{HomeTotal, Share};
+use super::share::{HomeAgentTotal, Share};
 use crate::message::TeamTotal;
 use crate::time::{Now, UnixMs};
 use hickorycross_config::{BackendServerId, Document, Team, TeamLimit};
 
-/// Time between reports of a team that is close to its limit.
-const TIGHT_PERIOD_MS: u64 = 1000;
+/// Time between demand reports of a team that is close to its limit.
+const NEAR_LIMIT_REPORT_PERIOD_MS: u64 = 1000;
 
-/// Time between reports of any other team.
-const CALM_PERIOD_MS: u64 = 2000;
+/// Time between demand reports of any other team.
+const REPORT_PERIOD_MS: u64 = 2000;
 
-/// Below this demand a team counts as gone from this entry.
-const LEAST_DEMAND_PER_S: f64 = 0.02;
+/// A team with less demand counts as inactive at this entry.
+const MIN_DEMAND_PER_S: f64 = 0.02;
 
-/// Standard deviations of its part of a burst that an entry lets through besides.
+/// Standard deviations by which an entry's bucket exceeds its plain share of the burst.
 const BURST_DEVIATIONS: f64 = 2.0;
 
-/// Least requests that an entry lets through at once, if the limit has as large a burst.
-const LEAST_CAPACITY: f64 = 3.0;
+/// Smallest bucket capacity, unless the limit's whole burst is smaller.
+const MIN_CAPACITY: f64 = 3.0;
 
-/// Row of one team.
+/// The limit, measured demand, share and bucket of one team.
 #[derive(Clone, Debug)]
 pub(super) struct TeamRow {
-    pub(super) homes: Vec<HomeRow>,
+    pub(super) homes: Vec<HomeAgentRow>,
     limit: TeamLimit,
     demand: ArrivalRate,
     share: Share,
     bucket: Bucket,
-    flow: Flow,
+    params: BucketParams,
 }
 
 /// One home agent of a team.
 #[derive(Clone, Debug)]
-pub(super) struct HomeRow {
-    /// Its backend server.
+pub(super) struct HomeAgentRow {
+    /// The backend server beside which the agent runs.
     pub(super) id: BackendServerId,
-    /// When the next report is due.
+    /// When the next demand report is due.
     pub(super) report_due: UnixMs,
-    /// Demand of the latest report.
-    pub(super) told_per_s: f64,
+    /// Demand in the latest report.
+    pub(super) reported_per_s: f64,
 }
 
 impl TeamRow {
-    /// Begins with the fair share and a full bucket.
+    /// Creates a row with the fair share and a full bucket.
     pub(super) fn new(now: Now, entries: u32, team: &Team, document: &Document) -> Self {
         let mut share = Share::fair(entries);
-        let flow = flow(team.limit, share.fraction(now, entries));
+        let params = bucket_params(team.limit, share.fraction(now, entries));
         Self {
             homes: home_rows(now, team, document),
             limit: team.limit,
             demand: ArrivalRate::default(),
             share,
-            bucket: Bucket::full(now, flow),
-            flow,
+            bucket: Bucket::full(now, params),
+            params,
         }
     }
 
-    /// Follows another document.
+    /// Applies a newly adopted document.
     pub(super) fn adopt(&mut self, now: Now, entries: u32, team: &Team, document: &Document) {
         let homes = home_rows(now, team, document);
         if !homes.iter().map(|home| &home.id).eq(self.homes.iter().map(|home| &home.id)) {
             self.homes = homes;
-            self.share.forget_homes();
+            self.share.forget_totals();
         }
         self.limit = team.limit;
         self.refresh(now, entries);
     }
 
-    /// Counts one request and judges it.
+    /// Counts one request and admits it, or returns the time at which to retry.
     pub(super) fn admit(&mut self, now: Now, entries: u32) -> Result<(), UnixMs> {
-        self.demand.arrived(now);
+        self.demand.record_arrival(now);
         self.refresh(now, entries);
-        self.bucket.take(now, self.flow)
+        self.bucket.take(now, self.params)
     }
 
-    /// Learns a total from a home agent.
-    pub(super) fn learn(
+    /// Takes a total from a home agent; ignores agents that are not home agents of the team.
+    pub(super) fn receive_total(
         &mut self,
         now: Now,
         entries: u32,
@@ -89,53 +89,57 @@
         let Some(index) = self.homes.iter().position(|home| home.id == *from) else {
             return;
         };
-        let total = HomeTotal::new(now, self.homes[index].told_per_s, total);
-        self.share.learn(now, entries, index, total);
+        let total = HomeAgentTotal::new(now, self.homes[index].reported_per_s, total);
+        self.share.receive_total(now, entries, index, total);
         self.refresh(now, entries);
     }
 
-    /// Demand to report: none once the team is gone and its homes have been told so.
+    /// Returns the demand to report, in requests per second; zero for an inactive team.
     pub(super) fn demand_per_s(&self, now: Now) -> f64 {
-        if self.demand.per_s(now) < LEAST_DEMAND_PER_S {
+        if self.demand.per_s(now) < MIN_DEMAND_PER_S {
             return 0.0;
         }
-        self.demand.steadied_per_s(now, self.share.mean_per_s(now))
+        self.demand.shrunk_per_s(now, self.share.mean_per_s(now))
     }
 
-    /// Time from one report to the next.
-    pub(super) fn period_ms(&self, now: Now) -> u64 {
+    /// Returns the time between two demand reports of the team.
+    pub(super) fn report_period_ms(&self, now: Now) -> u64 {
         let limit_per_s = f64::from(self.limit.requests_per_s);
-        if self.share.is_tight(now, limit_per_s) { TIGHT_PERIOD_MS } else { CALM_PERIOD_MS }
+        if self.share.is_near_limit(now, limit_per_s) {
+            NEAR_LIMIT_REPORT_PERIOD_MS
+        } else {
+            REPORT_PERIOD_MS
+        }
     }
 
-    /// Fills the bucket at the old flow, then takes the flow that holds now.
+    /// Refills the bucket with the old parameters, then replaces them by the current ones.
     fn refresh(&mut self, now: Now, entries: u32) {
-        self.bucket.fill(now, self.flow);
-        self.flow = flow(self.limit, self.share.fraction(now, entries));
+        self.bucket.fill(now, self.params);
+        self.params = bucket_params(self.limit, self.share.fraction(now, entries));
     }
 }
 
-fn flow(limit: TeamLimit, fraction: f64) -> Flow {
-    Flow {
+fn bucket_params(limit: TeamLimit, fraction: f64) -> BucketParams {
+    BucketParams {
         per_s: f64::from(limit.requests_per_s) * fraction,
         capacity: capacity(f64::from(limit.burst_requests), fraction),
     }
 }
 
-/// Requests that this entry lets through at once.
+/// Returns the bucket capacity, the requests that this entry admits at once.
 ///
-/// More than its plain share of the burst: of few requests that are spread over entries at random,
-/// some entry sees twice its part. With the plain share, a team far below its limit would be
-/// refused whenever two of its requests meet at one of many entries.
+/// It is more than the plain share of the burst: when few requests are spread over entries at
+/// random, some entry receives twice its part. With the plain share, a team far below its limit
+/// would be refused whenever two of its requests reach the same one of many entries.
 fn capacity(burst: f64, fraction: f64) -> f64 {
     let part = burst * fraction;
     let spread = BURST_DEVIATIONS * part.sqrt();
-    (part + spread).max(LEAST_CAPACITY).min(burst.max(1.0))
+    (part + spread).max(MIN_CAPACITY).min(burst.max(1.0))
 }
 
-fn home_rows(now: Now, team: &Team, document: &Document) -> Vec<HomeRow> {
-    homes_of(document, &team.id)
+fn home_rows(now: Now, team: &Team, document: &Document) -> Vec<HomeAgentRow> {
+    home_agents_of(document, &team.id)
         .into_iter()
-        .map(|id| HomeRow { id, report_due: now.unix_ms, told_per_s: 0.0 })
+        .map(|id| HomeAgentRow { id, report_due: now.unix_ms, reported_per_s: 0.0 })
         .collect()
 }
--- a/crates/core/src/limits/unlimited.rs
+++ b/crates/core/src/limits/unlimited.rs
@@ -1,11 +1,11 @@
-//! Baseline: no limits.
+//! Baseline policy without limits.
 
 use super::policy::{Admission, DemandReport, TeamLimiter};
 use crate::message::TeamTotal;
 use crate::time::Now;
 use hickorycross_config::{BackendServerId, Document, TeamId};
 
-/// Admits everything. For tests and measurements of other policies.
+/// Admits every request. For tests, and for measurements of the other policies.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Unlimited;
 
