--- a/crates/core/src/retry/fixed_budget.rs
+++ b/crates/core/src/retry/fixed_budget.rs
@@ -1,33 +1,33 @@
-//! Baseline: a fixed number of tries for each request.
+//! Baseline policy: a fixed number of tries for each request.
 
 use super::policy::{RetryBudget, RetryDecision};
 use crate::time::{Now, UnixMs};
 use hickorycross_config::{Document, RouteId};
 
-/// Time between a failed try and the next one.
+/// Pause between a failed try and the next one.
 const PAUSE_MS: u64 = 20;
 
 /// Allows each request the same number of tries, whatever share of all requests fails.
 ///
-/// Under a fault that hits every request this multiplies the load; it is the baseline against
-/// which a budget for each route is measured.
+/// A fault that affects every request multiplies the load under this policy. It is the baseline
+/// against which the budget per route, [`TokenBudget`](super::TokenBudget), is measured.
 #[derive(Clone, Copy, Debug)]
 pub struct FixedBudget {
-    most_tries: u16,
-    pauses: bool,
+    max_tries: u16,
+    has_pause: bool,
 }
 
 impl FixedBudget {
-    /// Allows `most_tries` tries of each request, the first one included.
+    /// Allows `max_tries` tries of each request, the first one included, with a pause in between.
     #[must_use]
-    pub const fn new(most_tries: u16) -> Self {
-        Self { most_tries, pauses: true }
+    pub const fn new(max_tries: u16) -> Self {
+        Self { max_tries, has_pause: true }
     }
 
-    /// Allows this many tries of a request, one right after the other.
+    /// Allows `max_tries` tries of each request, the first one included, without a pause.
     #[must_use]
-    pub const fn without_pause(most_tries: u16) -> Self {
-        Self { most_tries, pauses: false }
+    pub const fn without_pause(max_tries: u16) -> Self {
+        Self { max_tries, has_pause: false }
     }
 }
 
@@ -49,8 +49,8 @@
         tries: u16,
         deadline: UnixMs,
     ) -> RetryDecision {
-        let at = if self.pauses { now.after(PAUSE_MS) } else { now.unix_ms };
-        if tries >= self.most_tries || at >= deadline {
+        let at = if self.has_pause { now.after(PAUSE_MS) } else { now.unix_ms };
+        if tries >= self.max_tries || at >= deadline {
             return RetryDecision::GiveUp;
         }
         RetryDecision::RetryAt(at)
--- a/crates/core/src/retry/mod.rs
+++ b/crates/core/src/retry/mod.rs
@@ -1,6 +1,7 @@
-//! Retry budgets: further tries are a bounded share of first tries.
+//! Retry policies: whether and when an entry sends a failed request again.
 //!
-//! [`TokenBudget`] is the policy in use.
+//! [`TokenBudget`] is the production policy; it bounds retries to a fraction of first tries.
+//! [`FixedBudget`] is a baseline.
 
 mod fixed_budget;
 mod policy;
--- a/crates/core/src/retry/policy.rs
+++ b/crates/core/src/retry/policy.rs
@@ -1,25 +1,26 @@
-//! What an entry asks a retry policy, and what it answers.
+//! The interface between an entry and its retry policy.
 
 use crate::time::{Now, UnixMs};
 use hickorycross_config::{Document, RouteId};
 
-/// Whether a request may be tried again.
+/// The decision on retrying a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// It may, from this moment on; the try has been counted.
+    /// The request may be sent again from this time on; the retry has been charged to the budget.
     RetryAt(UnixMs),
-    /// It may not: give the final answer at once.
+    /// The request must not be retried; the caller gets the final response at once.
     GiveUp,
 }
 
-/// Retry budgets by route at one entry.
+/// Decides on retries at one entry, by route.
 pub trait RetryBudget: Send {
-    /// Follows another document.
+    /// Applies a newly adopted configuration document.
     fn adopt(&mut self, document: &Document);
 
-    /// Counts a first try.
+    /// Counts the first try of a request.
     fn record_first_try(&mut self, now: Now, route: &RouteId);
 
-    /// Judges another try: `tries` have been made, the work must begin before `deadline`.
+    /// Decides whether to retry a request after `tries` failed tries; a retry must begin before
+    /// `deadline`.
     fn decide(&mut self, now: Now, route: &RouteId, tries: u16, deadline: UnixMs) -> RetryDecision;
 }
