--- a/crates/core/src/entry/dispatch.rs
+++ b/crates/core/src/entry/dispatch.rs
@@ -191,8 +191,8 @@
         let choice = RoutingRequest {
             rank: row.rank,
             deadline: row.deadline,
-            home: &self.identity.failure_domain,
-            prefix: row.prefix,
+            entry_failure_domain: &self.identity.failure_domain,
+            prefix_digest: row.prefix,
             candidates: &candidates,
         };
         match self.policies.routing.choose(now, &choice) {
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -1,17 +1,18 @@
-//! Choice of a backend server for a request.
+//! Routing policies: the choice of a backend server for a request.
 //!
-//! [`TwoChoices`] is the policy in use; the others are baselines on the same border.
+//! [`TwoChoices`] is the production policy; the others are baselines for measurements. All of them
+//! implement [`RoutingPolicy`].
 
-mod estimate;
 mod least_outstanding;
-mod margin;
-mod mix;
 mod policy;
 mod projection;
 mod raw_two_choices;
 mod round_robin;
 mod sample;
+mod server_estimates;
+mod tier_mix;
 mod two_choices;
+mod wait_margin;
 
 pub use least_outstanding::LeastOutstanding;
 pub use policy::{Candidate, RoutingDecision, RoutingPolicy, RoutingRequest};
--- a/crates/core/src/routing/policy.rs
+++ b/crates/core/src/routing/policy.rs
@@ -1,67 +1,68 @@
-//! What an entry asks a routing policy, and what it answers.
+//! The interface between an entry and its routing policy.
 
 use crate::message::Load;
 use crate::time::{Now, UnixMs};
 use hickorycross_config::{BackendServerId, Document, FailureDomainId};
 
-/// One backend server that could take a request: link up, circuit not open, not tried before.
+/// A backend server that could take a request: its link is up, its circuit is not open, and the
+/// request was not sent to it before.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// Its name.
+    /// Its identifier.
     pub backend_server: &'a BackendServerId,
-    /// Where it stands.
+    /// The failure domain in which it runs.
     pub failure_domain: &'a FailureDomainId,
-    /// The latest report, which lags; none before the first one.
+    /// The latest load report, which lags behind the actual load; none before the first report.
     pub load: Option<&'a Load>,
-    /// When that report came in.
+    /// When the latest load report arrived.
     pub load_received: UnixMs,
-    /// Attempts of this entry that are open there.
+    /// Open attempts of this entry at the backend server.
     pub outstanding: u32,
-    /// Attempts that this entry has sent since that report was sampled.
+    /// Attempts that this entry has sent since the latest report was sampled.
     pub sent_since_report: u32,
-    /// Slots by the document.
+    /// Requests that it runs at once, by the document.
     pub slots: u32,
-    /// Share of its normal traffic that it may get, in thousandths: less while suspect or on its
-    /// ramp back.
+    /// Share of its normal traffic that it may receive, in thousandths. It is reduced while the
+    /// backend server is suspected of a fault or ramps up after one.
     pub share_permille: u16,
 }
 
 /// One request that needs a backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct RoutingRequest<'a> {
-    /// Rank of its tier.
+    /// Rank of the request's tier; 0 is served first.
     pub rank: u8,
-    /// Its deadline.
+    /// The request's deadline.
     pub deadline: UnixMs,
-    /// Where the entry stands.
-    pub home: &'a FailureDomainId,
+    /// The failure domain of the entry.
+    pub entry_failure_domain: &'a FailureDomainId,
     /// Digest of the prompt's prefix, for cache affinity.
-    pub prefix: Option<u64>,
-    /// Who could take it; never empty.
+    pub prefix_digest: Option<u64>,
+    /// The backend servers that could take the request; never empty.
     pub candidates: &'a [Candidate<'a>],
 }
 
-/// The answer of a routing policy.
+/// The decision of a routing policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoutingDecision {
-    /// Send it to the candidate at this index.
+    /// Send the request to the candidate at this index.
     Candidate(usize),
-    /// None can begin it before its deadline: refuse it at once.
+    /// Refuse the request at once, because no candidate can begin it before its deadline.
     Refuse {
-        /// When coming back makes sense.
+        /// When a retry by the caller is expected to be accepted.
         retry_at: UnixMs,
     },
 }
 
-/// A routing policy.
+/// Chooses a backend server for each request.
 pub trait RoutingPolicy: Send {
-    /// Follows another document. Policies that do not weigh tiers need not do anything.
+    /// Applies a newly adopted document. Does nothing by default, for policies that ignore tiers.
     fn adopt(&mut self, _document: &Document) {}
 
-    /// Picks a candidate, or refuses.
-    fn choose(&mut self, now: Now, choice: &RoutingRequest<'_>) -> RoutingDecision;
+    /// Chooses a candidate for the request, or refuses it.
+    fn choose(&mut self, now: Now, request: &RoutingRequest<'_>) -> RoutingDecision;
 
-    /// Learns how long an attempt took to its first chunk.
+    /// Records how long an attempt took until its first response chunk.
     fn record_first_chunk(
         &mut self,
         now: Now,
@@ -69,14 +70,14 @@
         first_chunk_ms: u64,
     );
 
-    /// Learns that a request of this rank got its first chunk, so that it has begun. Policies that
-    /// do not weigh tiers need not do anything.
+    /// Records that a request of this rank received its first chunk, so that it has started. Does
+    /// nothing by default, for policies that ignore tiers.
     fn record_start(&mut self, _now: Now, _rank: u8) {}
 
-    /// Learns that an accepted request of this rank expired in a queue.
+    /// Records that an accepted request of this rank expired in a queue. Does nothing by default.
     fn record_expiry(&mut self, _now: Now, _rank: u8) {}
 
-    /// Learns that an attempt failed before its first chunk. Policies that ignore failures need
-    /// not do anything.
+    /// Records that an attempt failed before its first chunk. Does nothing by default, for policies
+    /// that ignore failures.
     fn record_failure(&mut self, _now: Now, _backend_server: &BackendServerId) {}
 }
--- a/crates/core/src/routing/raw_two_choices.rs
+++ b/crates/core/src/routing/raw_two_choices.rs
@@ -1,21 +1,21 @@
-//! Baseline: two random candidates by the raw lagging report.
+//! Baseline policy: two random candidates, compared by their latest load reports alone.
 
 use super::policy::{RoutingDecision, RoutingPolicy, RoutingRequest};
-use super::sample::two_of;
+use super::sample::sample_two;
 use crate::time::Now;
 use hickorycross_config::BackendServerId;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Takes, of two random candidates, the one whose latest report counts fewer requests, however
-/// old the report is.
+/// Chooses, of two random candidates, the one whose latest load report counts fewer requests,
+/// however old the report is.
 #[derive(Clone, Debug)]
 pub struct RawTwoChoices {
     rng: ChaCha8Rng,
 }
 
 impl RawTwoChoices {
-    /// Makes the policy.
+    /// Creates the policy; the seed determines the random candidates.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self { rng: ChaCha8Rng::seed_from_u64(seed) }
@@ -23,12 +23,12 @@
 }
 
 impl RoutingPolicy for RawTwoChoices {
-    fn choose(&mut self, _now: Now, choice: &RoutingRequest<'_>) -> RoutingDecision {
-        let all: Vec<usize> = (0..choice.candidates.len()).collect();
-        let Some((one, other)) = two_of(&mut self.rng, &all) else {
+    fn choose(&mut self, _now: Now, request: &RoutingRequest<'_>) -> RoutingDecision {
+        let all: Vec<usize> = (0..request.candidates.len()).collect();
+        let Some((one, other)) = sample_two(&mut self.rng, &all) else {
             return RoutingDecision::Candidate(0);
         };
-        let better = if reported(choice, other) < reported(choice, one) { other } else { one };
+        let better = if reported(request, other) < reported(request, one) { other } else { one };
         RoutingDecision::Candidate(better)
     }
 
@@ -41,8 +41,9 @@
     }
 }
 
-fn reported(choice: &RoutingRequest<'_>, index: usize) -> u32 {
-    let Some(load) = choice.candidates[index].load else {
+/// Returns the running and waiting requests in the latest report; zero without a report.
+fn reported(request: &RoutingRequest<'_>, index: usize) -> u32 {
+    let Some(load) = request.candidates[index].load else {
         return 0;
     };
     load.running + load.waiting.iter().map(|tier| tier.requests).sum::<u32>()
--- a/crates/core/src/routing/round_robin.rs
+++ b/crates/core/src/routing/round_robin.rs
@@ -1,18 +1,18 @@
-//! Baseline: each candidate in turn.
+//! Baseline policy: each candidate in turn.
 
 use super::policy::{RoutingDecision, RoutingPolicy, RoutingRequest};
 use crate::time::Now;
 use hickorycross_config::BackendServerId;
 
-/// Gives each candidate its turn and looks at nothing else.
+/// Chooses the candidates in turn, whatever their load.
 #[derive(Clone, Debug, Default)]
 pub struct RoundRobin {
     turn: usize,
 }
 
 impl RoutingPolicy for RoundRobin {
-    fn choose(&mut self, _now: Now, choice: &RoutingRequest<'_>) -> RoutingDecision {
-        let index = self.turn % choice.candidates.len();
+    fn choose(&mut self, _now: Now, request: &RoutingRequest<'_>) -> RoutingDecision {
+        let index = self.turn % request.candidates.len();
         self.turn = self.turn.wrapping_add(1);
         RoutingDecision::Candidate(index)
     }
--- a/crates/core/src/routing/sample.rs
+++ b/crates/core/src/routing/sample.rs
@@ -1,18 +1,18 @@
-//! Random draws among candidates.
+//! Random selection among candidates.
 
 use super::policy::Candidate;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// The full share of a candidate's normal traffic.
+/// Share of a candidate without a traffic reduction, in thousandths.
 const FULL_SHARE_PERMILLE: u16 = 1000;
 
-/// Indices of the candidates that take part in this choice.
+/// Returns the indices of the candidates that take part in one routing decision.
 ///
-/// One with a reduced share takes part in only half as many choices as its share says: it is idle,
-/// so it wins nearly every comparison, and of two draws it is in one twice as often as its even
-/// part. Without the halving a ramp of 10% would be one of 20%.
-pub(super) fn usable(rng: &mut ChaCha8Rng, candidates: &[Candidate<'_>]) -> Vec<usize> {
+/// A candidate with a reduced share takes part with half the probability that its share states. It
+/// is idle and so wins nearly every comparison, and as two candidates are compared, it is sampled
+/// twice as often as its even part. Without the halving, a share of 10% would yield 20%.
+pub(super) fn eligible(rng: &mut ChaCha8Rng, candidates: &[Candidate<'_>]) -> Vec<usize> {
     let mut indices = Vec::with_capacity(candidates.len());
     for (index, candidate) in candidates.iter().enumerate() {
         let share = candidate.share_permille;
@@ -24,19 +24,20 @@
     indices
 }
 
-/// Distinct entries of `indices`, drawn at random.
-pub(super) fn some_of(rng: &mut ChaCha8Rng, indices: &[usize], count: usize) -> Vec<usize> {
-    let mut drawn = indices.to_vec();
-    for place in 0..count.min(drawn.len()) {
-        let other = rng.random_range(place..drawn.len());
-        drawn.swap(place, other);
+/// Returns up to `count` distinct elements of `indices`, chosen at random.
+pub(super) fn sample(rng: &mut ChaCha8Rng, indices: &[usize], count: usize) -> Vec<usize> {
+    let mut sampled = indices.to_vec();
+    for place in 0..count.min(sampled.len()) {
+        let other = rng.random_range(place..sampled.len());
+        sampled.swap(place, other);
     }
-    drawn.truncate(count);
-    drawn
+    sampled.truncate(count);
+    sampled
 }
 
-/// Two distinct entries of `indices`, or the same one twice when there is only one.
-pub(super) fn two_of(rng: &mut ChaCha8Rng, indices: &[usize]) -> Option<(usize, usize)> {
+/// Returns two distinct random elements of `indices`, the same one twice when there is only one, or
+/// none when there is none.
+pub(super) fn sample_two(rng: &mut ChaCha8Rng, indices: &[usize]) -> Option<(usize, usize)> {
     let count = indices.len();
     if count == 0 {
         return None;
@@ -46,9 +47,11 @@
     Some((indices[first], indices[(first + step) % count]))
 }
 
-/// One candidate, drawn by share. When no candidate has its full share, shares still say how they
-/// compare with each other; refusing the rest would turn a ramp of all into an outage.
-pub(super) fn share_weighted(rng: &mut ChaCha8Rng, candidates: &[Candidate<'_>]) -> usize {
+/// Returns the index of a random candidate, weighted by share.
+///
+/// This is used when the reduced shares leave no candidate eligible. Refusing such requests would
+/// cause an outage while all backend servers ramp up.
+pub(super) fn sample_by_share(rng: &mut ChaCha8Rng, candidates: &[Candidate<'_>]) -> usize {
     let total: u32 = candidates.iter().map(|candidate| u32::from(candidate.share_permille)).sum();
     if total == 0 {
         return rng.random_range(0..candidates.len());
--- a/crates/core/tests/policy_routing.rs
+++ b/crates/core/tests/policy_routing.rs
@@ -80,37 +80,42 @@
 
 /// A request that any home but those of the servers sends.
 #[derive(Clone, Copy, Debug)]
-struct Ask {
+struct TestRequest {
     rank: u8,
     slack_ms: u64,
-    home: &'static str,
+    entry_failure_domain: &'static str,
     prefix: Option<u64>,
 }
 
-const ASK: Ask = Ask { rank: 0, slack_ms: 2000, home: "elsewhere", prefix: None };
+const DEFAULT_REQUEST: TestRequest =
+    TestRequest { rank: 0, slack_ms: 2000, entry_failure_domain: "elsewhere", prefix: None };
 
 fn choose(
     policy: &mut dyn RoutingPolicy,
     now: Now,
     servers: &[Server],
-    ask: Ask,
+    request: TestRequest,
 ) -> RoutingDecision {
     let candidates: Vec<Candidate<'_>> = servers.iter().map(Server::candidate).collect();
-    let choice = RoutingRequest {
-        rank: ask.rank,
-        deadline: now.after(ask.slack_ms),
-        home: &FailureDomainId::new(ask.home),
-        prefix: ask.prefix,
+    let routing_request = RoutingRequest {
+        rank: request.rank,
+        deadline: now.after(request.slack_ms),
+        entry_failure_domain: &FailureDomainId::new(request.entry_failure_domain),
+        prefix_digest: request.prefix,
         candidates: &candidates,
     };
-    policy.choose(now, &choice)
+    policy.choose(now, &routing_request)
 }
 
 /// Picks of each server in thousandths of all draws.
-fn picks_permille(policy: &mut dyn RoutingPolicy, servers: &[Server], ask: Ask) -> Vec<usize> {
+fn picks_permille(
+    policy: &mut dyn RoutingPolicy,
+    servers: &[Server],
+    request: TestRequest,
+) -> Vec<usize> {
     let mut picks = vec![0; servers.len()];
     for _ in 0..DRAWS {
-        if let RoutingDecision::Candidate(index) = choose(policy, START, servers, ask) {
+        if let RoutingDecision::Candidate(index) = choose(policy, START, servers, request) {
             picks[index] += 1;
         }
     }
@@ -130,37 +135,37 @@
 struct PickCase {
     name: &'static str,
     servers: Vec<Server>,
-    ask: Ask,
+    request: TestRequest,
     /// Index of a server with the lowest and the highest thousandths of picks that it may get.
     bounds: Vec<(usize, usize, usize)>,
 }
 
 #[googletest::test]
 fn picks_follow_load_place_and_share() {
-    let near = Ask { home: "domain-0", ..ASK };
+    let near = TestRequest { entry_failure_domain: "domain-0", ..DEFAULT_REQUEST };
     let cases = vec![
         PickCase {
             name: "equal servers share evenly",
             servers: servers(&[4, 4, 4, 4]),
-            ask: ASK,
+            request: DEFAULT_REQUEST,
             bounds: (0..4).map(|index| (index, 150, 350)).collect(),
         },
         PickCase {
             name: "a full server gets nothing while another one has room",
             servers: servers(&[8, 0]),
-            ask: ASK,
+            request: DEFAULT_REQUEST,
             bounds: vec![(0, 0, 0)],
         },
         PickCase {
             name: "near servers first",
             servers: servers(&[3, 0, 3, 0]),
-            ask: near,
+            request: near,
             bounds: vec![(1, 0, 0), (3, 0, 0)],
         },
         PickCase {
             name: "far servers once the near ones are full",
             servers: servers(&[8, 0, 8, 0]),
-            ask: near,
+            request: near,
             bounds: vec![(0, 0, 0), (2, 0, 0)],
         },
         PickCase {
@@ -172,18 +177,18 @@
                 Server::new(3, 4),
                 Server::new(4, 4),
             ],
-            ask: ASK,
+            request: DEFAULT_REQUEST,
             bounds: vec![(0, 1, 60)],
         },
         PickCase {
             name: "ramps of all are not an outage",
             servers: vec![Server::new(0, 0).share(100), Server::new(1, 0).share(300)],
-            ask: ASK,
+            request: DEFAULT_REQUEST,
             bounds: vec![(0, 150, 450), (1, 550, 850)],
         },
     ];
     for case in cases {
-        let picks = picks_permille(&mut TwoChoices::new(7), &case.servers, case.ask);
+        let picks = picks_permille(&mut TwoChoices::new(7), &case.servers, case.request);
         for (index, lowest, highest) in case.bounds {
             expect_that!(picks[index], ge(lowest), "{} {index}", case.name);
             expect_that!(picks[index], le(highest), "{} {index}", case.name);
@@ -198,14 +203,14 @@
 fn a_server_that_fails_fast_attracts_nothing() {
     let servers = servers(&[0, 4, 4, 4]);
     let mut policy = learned(3, &[80, 80, 80, 80], &servers);
-    let before = picks_permille(&mut policy, &servers, ASK);
+    let before = picks_permille(&mut policy, &servers, DEFAULT_REQUEST);
     expect_that!(before[0], ge(900), "idle and sound, it is the best");
     for _ in 0..8 {
         policy.record_failure(START, &servers[0].id);
     }
-    let after = picks_permille(&mut policy, &servers, ASK);
+    let after = picks_permille(&mut policy, &servers, DEFAULT_REQUEST);
     expect_that!(after[0], le(10));
-    let baseline = picks_permille(&mut LeastOutstanding::default(), &servers, ASK);
+    let baseline = picks_permille(&mut LeastOutstanding::default(), &servers, DEFAULT_REQUEST);
     expect_that!(baseline[0], ge(200), "the baseline goes on sending");
 }
 
@@ -217,12 +222,14 @@
 fn a_straggler_gets_less_and_is_tried_again_later() {
     let servers = servers(&[2, 2, 2, 2]);
     let mut policy = learned(3, &[800, 80, 80, 80], &servers);
-    expect_that!(picks_permille(&mut policy, &servers, ASK)[0], le(10));
-    let baseline = picks_permille(&mut RoundRobin::default(), &servers, ASK);
+    expect_that!(picks_permille(&mut policy, &servers, DEFAULT_REQUEST)[0], le(10));
+    let baseline = picks_permille(&mut RoundRobin::default(), &servers, DEFAULT_REQUEST);
     expect_that!(baseline[0], eq(250), "the baseline sends it an even part");
     let later = Now::at(START.unix_ms.0 + 12_000);
     let picked = (0..400)
-        .filter(|_| choose(&mut policy, later, &servers, ASK) == RoutingDecision::Candidate(0))
+        .filter(|_| {
+            choose(&mut policy, later, &servers, DEFAULT_REQUEST) == RoutingDecision::Candidate(0)
+        })
         .count();
     expect_that!(picked, ge(40));
 }
@@ -240,7 +247,7 @@
         server.load.sampled = old;
     }
     let drawn = |servers: &[Server]| {
-        let picks = |seed| choose(&mut TwoChoices::new(seed), START, servers, ASK);
+        let picks = |seed| choose(&mut TwoChoices::new(seed), START, servers, DEFAULT_REQUEST);
         (0..400).filter(|&seed| picks(seed) == RoutingDecision::Candidate(0)).count()
     };
     expect_that!(drawn(&stale), le(140));
@@ -329,10 +336,10 @@
         let server =
             |index| Server::new(index, SLOTS).waiting(0, case.waiting.0).waiting(2, case.waiting.1);
         let servers: Vec<Server> = (0..4).map(server).collect();
-        let ask = Ask { rank: case.rank, slack_ms: case.slack_ms, ..ASK };
-        let sent = is_sent(choose(&mut policy, START, &servers, ask));
+        let request = TestRequest { rank: case.rank, slack_ms: case.slack_ms, ..DEFAULT_REQUEST };
+        let sent = is_sent(choose(&mut policy, START, &servers, request));
         expect_that!(sent, eq(case.sent), "{}", case.name);
-        expect_true!(is_sent(choose(&mut RoundRobin::default(), START, &servers, ask)));
+        expect_true!(is_sent(choose(&mut RoundRobin::default(), START, &servers, request)));
     }
 }
 
@@ -344,7 +351,9 @@
     for waiting in [40, 60, 90, 200] {
         let full = vec![Server::new(0, SLOTS).waiting(0, waiting)];
         let mut policy = TwoChoices::new(1);
-        let RoutingDecision::Refuse { retry_at } = choose(&mut policy, START, &full, ASK) else {
+        let RoutingDecision::Refuse { retry_at } =
+            choose(&mut policy, START, &full, DEFAULT_REQUEST)
+        else {
             panic!("a queue of {waiting} must be refused");
         };
         expect_that!(retry_at, gt(START.unix_ms));
@@ -353,7 +362,7 @@
         let mut later = vec![Server::new(0, SLOTS).waiting(0, left)];
         later[0].received = retry_at;
         later[0].load.sampled = retry_at;
-        let pick = choose(&mut policy, Now { unix_ms: retry_at }, &later, ASK);
+        let pick = choose(&mut policy, Now { unix_ms: retry_at }, &later, DEFAULT_REQUEST);
         expect_true!(is_sent(pick), "with {left} left of {waiting}");
     }
 }
@@ -364,14 +373,14 @@
 // Cause: the projection did not know the floor.
 #[googletest::test]
 fn the_floor_of_a_tier_is_not_refused() {
-    let ask = Ask { rank: 2, slack_ms: 10_000, ..ASK };
+    let request = TestRequest { rank: 2, slack_ms: 10_000, ..DEFAULT_REQUEST };
     let servers: Vec<Server> =
         (0..4).map(|index| Server::new(index, SLOTS).waiting(0, 30)).collect();
     for (floor_permille, sent) in [(0, false), (50, true)] {
         let mut policy = TwoChoices::new(1);
         policy.adopt(&floors::document(floor_permille));
         (0..100).for_each(|_| policy.record_start(START, 0));
-        expect_that!(is_sent(choose(&mut policy, START, &servers, ask)), eq(sent));
+        expect_that!(is_sent(choose(&mut policy, START, &servers, request)), eq(sent));
     }
 }
 
@@ -382,24 +391,25 @@
 fn expired_work_makes_admission_careful() {
     let servers: Vec<Server> =
         (0..4).map(|index| Server::new(index, SLOTS).waiting(1, 16)).collect();
-    let ask = Ask { rank: 1, slack_ms: 2000, ..ASK };
+    let request = TestRequest { rank: 1, slack_ms: 2000, ..DEFAULT_REQUEST };
     let mut policy = TwoChoices::new(1);
-    expect_true!(is_sent(choose(&mut policy, START, &servers, ask)));
+    expect_true!(is_sent(choose(&mut policy, START, &servers, request)));
     (0..8).for_each(|_| policy.record_expiry(START, 1));
-    expect_false!(is_sent(choose(&mut policy, START, &servers, ask)));
-    let first = Ask { rank: 0, ..ask };
+    expect_false!(is_sent(choose(&mut policy, START, &servers, request)));
+    let first = TestRequest { rank: 0, ..request };
     expect_true!(is_sent(choose(&mut policy, START, &servers, first)), "other tiers do not pay");
     (0..2000).for_each(|_| policy.record_start(START, 1));
-    expect_true!(is_sent(choose(&mut policy, START, &servers, ask)));
+    expect_true!(is_sent(choose(&mut policy, START, &servers, request)));
 }
 
 #[googletest::test]
 fn a_prefix_goes_where_all_entries_send_it_while_there_is_room() {
     let mut servers = servers(&[2, 2, 2, 2, 2]);
     for prefix in 0..50 {
-        let ask = Ask { prefix: Some(prefix), ..ASK };
-        let pick =
-            |seed: u64, servers: &[Server]| choose(&mut TwoChoices::new(seed), START, servers, ask);
+        let request = TestRequest { prefix: Some(prefix), ..DEFAULT_REQUEST };
+        let pick = |seed: u64, servers: &[Server]| {
+            choose(&mut TwoChoices::new(seed), START, servers, request)
+        };
         let holder = pick(0, &servers);
         let all_agree = (1..10).all(|seed| pick(seed, &servers) == holder);
         expect_true!(all_agree, "prefix {prefix}");
@@ -415,7 +425,7 @@
     let servers = servers(&[3, 2, 3, 2, 4]);
     let picks = |seed| {
         let mut policy = learned(seed, &[80, 90, 70, 60, 80], &servers);
-        (0..200).map(|_| choose(&mut policy, START, &servers, ASK)).collect::<Vec<_>>()
+        (0..200).map(|_| choose(&mut policy, START, &servers, DEFAULT_REQUEST)).collect::<Vec<_>>()
     };
     expect_that!(picks(1), eq(&picks(1)));
     expect_that!(picks(1), not(eq(&picks(2))));
--- a/crates/lab/src/policy/entry.rs
+++ b/crates/lab/src/policy/entry.rs
@@ -210,8 +210,8 @@
         let choice = RoutingRequest {
             rank: wanted.rank,
             deadline: UnixMs(wanted.deadline_ms),
-            home: &self.home,
-            prefix: None,
+            entry_failure_domain: &self.home,
+            prefix_digest: None,
             candidates: &candidates,
         };
         match self.routing.choose(now, &choice) {
