--- a/crates/core/src/health/always_up.rs
+++ b/crates/core/src/health/always_up.rs
@@ -1,10 +1,10 @@
-//! Baseline: no suspicion.
+//! Baseline policy: every backend server counts as healthy.
 
 use super::policy::{HealthPolicy, Signal, Standing};
 use crate::time::Now;
 
-/// Gives every backend server its full share, whatever is seen of it. For tests and measurements
-/// of other policies.
+/// Gives every backend server its full share of traffic, whatever signals arrive. For tests, and
+/// for measurements of the other policies.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AlwaysUp;
 
--- a/crates/core/src/health/circuit_breaker.rs
+++ b/crates/core/src/health/circuit_breaker.rs
@@ -1,20 +1,20 @@
-//! The health policy in use.
+//! The production policy: a circuit breaker that reduces traffic in stages.
 
+use super::attempt_counts::AttemptCounts;
 use super::backoff::{AFTER_FAILURES, AFTER_SILENCE, Backoff};
-use super::counts::Counts;
 use super::policy::{HealthPolicy, Signal, Standing};
 use super::ramp::Ramp;
 use crate::time::{Now, UnixMs};
 
-/// The full share.
+/// The full share of traffic.
 const FULL_PERMILLE: u16 = 1000;
 
-/// Shares after one and after two missed signs of life; with more the circuit opens.
+/// Shares after one and after two missed heartbeats or acknowledgements; a third opens the circuit.
 const MISSED_SHARES_PERMILLE: [u16; 2] = [600, 300];
 
-/// Missed signs of life within this time count once: a link that is silent for a moment makes
-/// every acknowledgement on it overdue together.
-const MISSED_SPACING_MS: u64 = 150;
+/// Heartbeats and acknowledgements missed within this time count once: a link that stalls briefly
+/// makes every acknowledgement on it overdue at the same time.
+const MISSED_DEDUP_MS: u64 = 150;
 
 /// Consecutive failures that open the circuit.
 const FAILURES_TO_OPEN: u32 = 4;
@@ -31,25 +31,25 @@
 /// Share of traffic while some attempts fail.
 const REDUCED_PERMILLE: u16 = 500;
 
-/// How long a probe may go without an answer before another one is sent.
-const PROBE_MS: u64 = 2000;
+/// How long a probe may remain without a result before another one is sent.
+const PROBE_TIMEOUT_MS: u64 = 2000;
 
-/// How long the word of an agent that its backend server is down holds without a probe. The
-/// message that takes it back may be lost.
-const DOWN_MS: u64 = 5000;
+/// How long an agent's report that its backend server is down holds before a probe is sent. The
+/// report of its recovery may be lost.
+const DOWN_REPORT_TTL_MS: u64 = 5000;
 
 /// Why a circuit is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Cause {
-    /// Signs of life are missing; any answer is the end of that.
+    /// Heartbeats or acknowledgements are overdue; any reply ends this.
     Silence,
-    /// Attempts fail although the agent answers; only the answer to a probe is the end of that.
+    /// Attempts fail although the agent replies; only a successful probe ends this.
     Failures,
-    /// The agent says that its backend server does not answer.
+    /// The agent reports that its backend server does not respond.
     Down,
 }
 
-/// Where the circuit of one backend server stands.
+/// State of the circuit of one backend server.
 #[derive(Clone, Copy, Debug)]
 enum Circuit {
     Closed,
@@ -58,40 +58,42 @@
     Probing { cause: Cause, answer_by: UnixMs },
 }
 
-/// Graded suspicion of one backend server.
+/// A circuit breaker for one backend server that reduces its traffic before it opens.
 #[derive(Clone, Debug)]
 pub struct CircuitBreaker {
     circuit: Circuit,
-    counts: Counts,
+    counts: AttemptCounts,
     missed: u32,
-    next_missed_counts: UnixMs,
+    ignore_missed_until: UnixMs,
     backoff: Backoff,
 }
 
 impl CircuitBreaker {
-    /// Begins with a closed circuit; entries differ in their seeds so that their probes spread.
+    /// Creates a closed circuit. Entries must use different seeds so that their probes spread.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
             circuit: Circuit::Closed,
-            counts: Counts::default(),
+            counts: AttemptCounts::default(),
             missed: 0,
-            next_missed_counts: UnixMs::default(),
+            ignore_missed_until: UnixMs::default(),
             backoff: Backoff::new(seed),
         }
     }
 
     fn answered(&mut self, now: Now) {
-        self.heard(now);
+        self.acknowledged(now);
         self.counts.answered(now);
         if let Circuit::Probing { .. } = self.circuit {
             self.begin_ramp(Ramp::warm(now));
         }
     }
 
-    /// Ends silence and nothing else. An agent acknowledges also what its backend server fails a
-    /// moment later: were that a sign of health, the circuit of a failing one would never open.
-    fn heard(&mut self, now: Now) {
+    /// Starts the ramp if the circuit opened for missed replies; completes a ramp that is over.
+    ///
+    /// An agent also acknowledges attempts that its backend server fails a moment later. If that
+    /// counted as a success, the circuit of a failing backend server would never open.
+    fn acknowledged(&mut self, now: Now) {
         self.missed = 0;
         match self.circuit {
             Circuit::Open { cause: Cause::Silence, .. }
@@ -116,10 +118,10 @@
     }
 
     fn missed(&mut self, now: Now) {
-        if !self.next_missed_counts.is_past(now) {
+        if !self.ignore_missed_until.is_past(now) {
             return;
         }
-        self.next_missed_counts = now.after(MISSED_SPACING_MS);
+        self.ignore_missed_until = now.after(MISSED_DEDUP_MS);
         self.missed += 1;
         let too_many = self.missed as usize > MISSED_SHARES_PERMILLE.len();
         match self.circuit {
@@ -129,9 +131,11 @@
         }
     }
 
-    /// Ends only what the agent itself had said. An agent says that all is well after each of its
-    /// own health checks, also while attempts fail; taking that as recovery would send traffic into
-    /// the failure again and again.
+    /// Starts the ramp unless the circuit opened because attempts failed.
+    ///
+    /// An agent reports its backend server as up after each of its own health checks, even while
+    /// attempts fail. Treating that as recovery would send traffic to the failing backend server
+    /// again and again.
     fn backend_up(&mut self, now: Now) {
         let cause = match self.circuit {
             Circuit::Open { cause, .. } | Circuit::Probing { cause, .. } => cause,
@@ -149,7 +153,7 @@
 
     fn open(&mut self, now: Now, cause: Cause) {
         let probe_at = match cause {
-            Cause::Down => now.after(DOWN_MS),
+            Cause::Down => now.after(DOWN_REPORT_TTL_MS),
             Cause::Silence => self.backoff.next(now, AFTER_SILENCE),
             Cause::Failures => self.backoff.next(now, AFTER_FAILURES),
         };
@@ -157,7 +161,7 @@
     }
 
     fn begin_ramp(&mut self, ramp: Ramp) {
-        self.counts = Counts::default();
+        self.counts = AttemptCounts::default();
         self.missed = 0;
         self.circuit = Circuit::Ramping(ramp);
     }
@@ -169,7 +173,7 @@
         }
     }
 
-    /// The least of the shares that ramp, missed signs of life and failures allow.
+    /// Returns the lowest of the shares allowed by the ramp, missed replies and failures.
     fn share_permille(&self, now: Now, ramp: Option<Ramp>) -> u16 {
         let by_ramp = ramp.and_then(|ramp| ramp.share_permille(now)).unwrap_or(FULL_PERMILLE);
         by_ramp.min(self.share_by_missed()).min(self.share_by_failures(now))
@@ -193,7 +197,7 @@
     fn signal(&mut self, now: Now, signal: Signal) {
         match signal {
             Signal::Answered => self.answered(now),
-            Signal::Acknowledged => self.heard(now),
+            Signal::Acknowledged => self.acknowledged(now),
             Signal::Failed => self.failed(now),
             Signal::Missed => self.missed(now),
             Signal::Restarted => self.begin_ramp(Ramp::cold(now)),
@@ -214,7 +218,7 @@
 
     fn probe_sent(&mut self, now: Now) {
         if let Circuit::Open { cause, .. } | Circuit::Probing { cause, .. } = self.circuit {
-            self.circuit = Circuit::Probing { cause, answer_by: now.after(PROBE_MS) };
+            self.circuit = Circuit::Probing { cause, answer_by: now.after(PROBE_TIMEOUT_MS) };
         }
     }
 }
--- a/crates/core/src/health/mod.rs
+++ b/crates/core/src/health/mod.rs
@@ -1,11 +1,12 @@
-//! Graded suspicion of backend servers: reduced share, open circuit, probing, staged ramp.
+//! Health policies: how much traffic an entry may send to a backend server.
 //!
-//! [`CircuitBreaker`] is the policy in use.
+//! [`CircuitBreaker`] is the production policy. It first reduces the share of traffic, then opens
+//! the circuit, sends probes and restores the share in stages. The others are baselines.
 
 mod always_up;
+mod attempt_counts;
 mod backoff;
 mod circuit_breaker;
-mod counts;
 mod policy;
 mod ramp;
 mod reported_health;
--- a/crates/core/src/health/policy.rs
+++ b/crates/core/src/health/policy.rs
@@ -1,46 +1,46 @@
-//! What an entry tells a health policy about one backend server, and what it learns.
+//! The interface between an entry and its health policy.
 
 use crate::time::Now;
 
-/// What was seen of a backend server.
+/// An observation about the health of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// A whole answer, or a first chunk of one.
+    /// A complete response or the first chunk of one arrived.
     Answered,
-    /// A message in answer to ours, such as an acknowledgement: the agent lives and the link
-    /// works. It says nothing of the backend server, which may fail every attempt.
+    /// The agent replied to a message, for example with an acknowledgement, so the agent is alive
+    /// and the link works. This does not show that the backend server works.
     Acknowledged,
-    /// An attempt failed there, or it answered with a server error.
+    /// An attempt failed, or the backend server responded with a server error.
     Failed,
     /// A heartbeat or an acknowledgement is overdue.
     Missed,
-    /// Its agent began another incarnation, so that its caches are cold.
+    /// The agent started a new incarnation, so the caches are cold.
     Restarted,
-    /// Its agent says that the backend server does not answer.
+    /// The agent reports that its backend server does not respond.
     BackendDown,
-    /// Its agent says that the backend server answers again.
+    /// The agent reports that its backend server responds again.
     BackendUp,
 }
 
-/// How a backend server may be used now.
+/// How much traffic a backend server may receive now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It gets this share of its normal traffic, in thousandths.
+    /// It receives this share of its normal traffic, in thousandths.
     Share(u16),
-    /// It gets nothing.
+    /// The circuit is open: it receives no requests.
     Open,
-    /// It may get one request as a probe.
+    /// The circuit is half-open: it may receive one request as a probe.
     Probe,
 }
 
-/// Health of the backend servers as one entry sees them; one value for each backend server.
+/// The health of one backend server as seen by one entry.
 pub trait HealthPolicy: Send {
-    /// Learns from a signal.
+    /// Updates the health by a signal.
     fn signal(&mut self, now: Now, signal: Signal);
 
-    /// How it may be used now.
+    /// Returns how much traffic the backend server may receive now.
     fn standing(&self, now: Now) -> Standing;
 
-    /// Notes that a probe was sent, so that no second one follows before it is answered.
+    /// Records that a probe was sent, so that no second one follows before its result or timeout.
     fn probe_sent(&mut self, now: Now);
 }
--- a/crates/core/src/health/reported_health.rs
+++ b/crates/core/src/health/reported_health.rs
@@ -1,9 +1,9 @@
-//! Baseline: down while the agent says so.
+//! Baseline policy: a backend server is healthy unless its agent reports that it is down.
 
 use super::policy::{HealthPolicy, Signal, Standing};
 use crate::time::Now;
 
-/// Baseline of health: down while the agent says so, else a full share.
+/// Opens the circuit while the agent reports its backend server as down; ignores all other signals.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReportedHealth {
     down: bool,
