--- a/crates/core/src/adoption/mod.rs
+++ b/crates/core/src/adoption/mod.rs
@@ -1,10 +1,10 @@
-//! Which document is in force in a process, and how it reaches every process.
+//! Adoption of configuration documents by a process, and their distribution to all processes.
 //!
-//! - [`Adoption`] holds the order: a process never goes back.
+//! - [`Adoption`] keeps the document in force and never returns to an older revision.
 //! - [`Exchange`] passes documents on between processes, so that few of them read the platform's
-//!   service and a process that cannot reach it still follows.
-//! - [`is_watcher`] says which processes watch the platform's service.
-//! - [`StartGate`] keeps a new process from serving on a stale document.
+//!   service, and a process that cannot reach it still receives changes.
+//! - [`is_watcher`] decides which processes watch the platform's service.
+//! - [`StartGate`] keeps a new process from serving with a stale document.
 
 mod conflicts;
 mod exchange;
--- a/crates/core/src/adoption/order.rs
+++ b/crates/core/src/adoption/order.rs
@@ -1,7 +1,9 @@
-//! The order of documents in one process.
+//! The decision whether an offered document replaces the one in force.
 //!
-//! The platform's revision gives the order. A process never goes back, whoever offers: the
-//! platform's service may be restored from a backup, a peer may have been frozen for an hour.
+//! Documents are ordered by the platform's revision. A process never returns to an older one,
+//! whatever the source of an offer: the platform's service may have been restored from a backup,
+//! and a peer may have been suspended for an hour.
+
 use crate::audit::{AuditRecord, Change};
 use crate::time::Now;
 use hickorycross_config::{Digest, Document, Fault, Stamp, parse};
@@ -10,14 +12,14 @@
 /// A document as published, with the revision that the platform gave it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Published {
-    /// The platform's revision.
+    /// The revision given by the platform.
     pub revision: u64,
     /// The bytes as published.
     pub bytes: Arc<[u8]>,
 }
 
 impl Published {
-    /// Revision and digest.
+    /// Returns the revision with the digest of the bytes.
     #[must_use]
     pub fn stamp(&self) -> Stamp {
         Stamp { revision: self.revision, digest: Digest::of(&self.bytes) }
@@ -31,28 +33,29 @@
     pub stamp: Stamp,
     /// Its content.
     pub document: Arc<Document>,
-    /// The bytes as published, to be passed on unchanged.
+    /// The bytes as published, which are passed on to peers unchanged.
     pub bytes: Arc<[u8]>,
 }
 
-/// What became of an offer.
+/// The result of an offer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// It is in force from now on.
+    /// The offered document is now in force.
     Adopted,
-    /// It is what is in force already.
+    /// The offered document was in force already.
     Same,
-    /// It is older than what is in force.
+    /// The offered document is older than the one in force.
     Older,
-    /// It was refused before.
+    /// The offered document was refused before.
     RefusedBefore,
-    /// It does not validate; what was in force stays.
+    /// The offered document does not validate; the one in force stays.
     Refused(Vec<Fault>),
-    /// The revision in force has another content: a fault of the platform. What is in force stays.
+    /// The offered document has the revision in force but another content, which is a fault of the
+    /// platform; the one in force stays.
     Conflict,
 }
 
-/// The adoption of documents by one process.
+/// The document in force in one process, and the offers that it refused.
 ///
 /// ```
 /// use hickorycross_core::adoption::{Adoption, Outcome, Published};
@@ -67,38 +70,38 @@
 #[derive(Debug, Default)]
 pub struct Adoption {
     in_force: Option<InForce>,
-    /// The latest refused offer, so that it is judged and reported once and not at every read.
+    /// The latest refused offer, so that it is validated and reported only once.
     refused: Option<Stamp>,
-    /// The latest conflicting digest, reported once.
+    /// The latest conflicting offer, so that it is reported only once.
     conflicting: Option<Stamp>,
 }
 
 impl Adoption {
-    /// The document in force, if one has been adopted.
+    /// Returns the document in force, if one has been adopted.
     #[must_use]
     pub fn in_force(&self) -> Option<&InForce> {
         self.in_force.as_ref()
     }
 
-    /// The stamp of the document in force, [`Stamp::NONE`] before the first.
+    /// Returns the stamp of the document in force, [`Stamp::NONE`] before the first.
     #[must_use]
     pub fn stamp(&self) -> Stamp {
         self.in_force.as_ref().map_or(Stamp::NONE, |in_force| in_force.stamp)
     }
 
-    /// The latest offer that did not validate, if it is newer than what is in force.
+    /// Returns the latest offer that did not validate, if it is newer than the document in force.
     #[must_use]
     pub fn refused(&self) -> Option<Stamp> {
         self.refused.filter(|refused| refused.revision > self.stamp().revision)
     }
 
-    /// Whether a peer with this stamp holds something newer.
+    /// Whether a peer with this stamp holds a newer document that was not refused here.
     #[must_use]
     pub fn is_behind(&self, peer: Stamp) -> bool {
         peer.revision > self.stamp().revision && self.refused != Some(peer)
     }
 
-    /// Judges an offer and adopts it if it is newer and valid.
+    /// Adopts an offered document if it is newer and valid; appends audit records to `records`.
     pub fn offer(
         &mut self,
         now: Now,
@@ -108,7 +111,7 @@
         let offered = offer.stamp();
         let held = self.stamp();
         if self.in_force.is_some() && offered.revision <= held.revision {
-            return self.judge_older(now, offered, records);
+            return self.judge_not_newer(now, offered, records);
         }
         if self.refused == Some(offered) {
             return Outcome::RefusedBefore;
@@ -125,14 +128,19 @@
         }
     }
 
-    /// An offer that does not replace what is in force.
+    /// Returns the outcome of an offer that does not replace the document in force.
     ///
-    /// Were an older one taken, a platform restored from a backup, or a peer that was frozen
-    /// during a change, would put limits and backend servers of last week in force again; one
-    /// would see the fleet's revision fall. Were one of two contents of one revision taken at
-    /// random, processes would disagree for good while their revisions look the same; one would
-    /// see it as two digests for one revision in the fleet's view.
-    fn judge_older(&mut self, now: Now, offered: Stamp, records: &mut Vec<AuditRecord>) -> Outcome {
+    /// If older documents were adopted, a platform restored from a backup or a peer suspended
+    /// during a change would restore outdated limits and backend servers, and the fleet's revision
+    /// would decrease. If one of two contents of a revision replaced the other, processes could
+    /// differ permanently under the same revision; the fleet view shows that as two digests for
+    /// one revision.
+    fn judge_not_newer(
+        &mut self,
+        now: Now,
+        offered: Stamp,
+        records: &mut Vec<AuditRecord>,
+    ) -> Outcome {
         let held = self.stamp();
         if offered == held {
             return Outcome::Same;
--- a/crates/core/src/adoption/start_gate.rs
+++ b/crates/core/src/adoption/start_gate.rs
@@ -1,9 +1,9 @@
-//! The start of a process without memory.
+//! The gate that keeps a new process from serving before it has compared documents with peers.
 //!
-//! A new process has no disk. Were it to serve on the first document that it reads, a platform
-//! service that is stale, or was restored from a backup, would put an old document in force on
-//! every new process beside a fleet that holds a newer one; one would see two revisions serving.
-//! It therefore hears several peers in distinct failure domains first and takes the highest.
+//! A new process has no stored state. If it served with the first document that it reads, a
+//! platform service that is stale or was restored from a backup would put an old document in force
+//! on new processes while the fleet holds a newer one, and two revisions would serve at once. The
+//! process therefore first asks peers in different failure domains and adopts the highest revision.
 
 use crate::ids::{InstanceId, LinkId};
 use crate::instance::{Instance, InstanceState, Role};
@@ -14,94 +14,94 @@
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
-/// Peers that are heard before serving.
-const PROBES: usize = 3;
-/// Peers that do not answer are not waited for any longer.
-const PATIENCE_MS: u64 = 3_000;
+/// Number of peers to ask before serving.
+const MAX_PROBES: usize = 3;
+/// Time after which the gate opens although peers have not answered.
+const PROBE_TIMEOUT_MS: u64 = 3_000;
 
-/// A link to open for the sake of hearing a peer.
+/// A link to open to a peer, to learn which document is in force there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Probe {
-    /// Number of the link.
+    /// Number of the link to open.
     pub link: LinkId,
     /// The peer.
     pub instance: InstanceId,
-    /// Where it listens.
+    /// The address on which the peer listens.
     pub address: SocketAddr,
 }
 
-/// Keeps a new process from serving until its peers have been heard.
+/// Keeps a new process from serving until a few peers have told it which document they hold.
 #[derive(Debug)]
 pub struct StartGate {
     own: InstanceId,
     first_link: LinkId,
-    waiting: IndexMap<LinkId, InstanceId>,
-    /// Links whose peer has said what is in force there.
-    heard: IndexSet<LinkId>,
-    begun: bool,
+    pending: IndexMap<LinkId, InstanceId>,
+    /// Links whose peer has sent its stamp.
+    answered: IndexSet<LinkId>,
+    has_instance_list: bool,
     deadline: UnixMs,
 }
 
 impl StartGate {
-    /// Closes the gate. `first_link` is the first of [`StartGate::link_count`] numbers that the gate
-    /// may use.
+    /// Creates a closed gate. `first_link` is the first of [`StartGate::link_count`] link numbers
+    /// that are reserved for the gate.
     #[must_use]
     pub fn new(own: InstanceId, first_link: LinkId) -> Self {
         let deadline = UnixMs::NEVER;
         Self {
             own,
             first_link,
-            waiting: IndexMap::new(),
-            heard: IndexSet::new(),
-            begun: false,
+            pending: IndexMap::new(),
+            answered: IndexSet::new(),
+            has_instance_list: false,
             deadline,
         }
     }
 
-    /// How many link numbers a gate uses at most.
+    /// Returns the number of link numbers that a gate uses at most.
     #[must_use]
     pub const fn link_count() -> u64 {
-        PROBES as u64
+        MAX_PROBES as u64
     }
 
-    /// Learns the instance list; the first one gives the peers to hear.
+    /// Takes the instance list; returns the links to open for the first list, and none later.
     pub fn update_instances(&mut self, now: Now, instances: &[Instance]) -> Vec<Probe> {
-        if self.begun {
+        if self.has_instance_list {
             return Vec::new();
         }
-        self.begun = true;
-        self.deadline = now.after(PATIENCE_MS);
+        self.has_instance_list = true;
+        self.deadline = now.after(PROBE_TIMEOUT_MS);
         let probes = self.probes(instances);
-        self.waiting = probes.iter().map(|probe| (probe.link, probe.instance.clone())).collect();
+        self.pending = probes.iter().map(|probe| (probe.link, probe.instance.clone())).collect();
         probes
     }
 
-    /// Notes that a peer has said what is in force there.
+    /// Records that the peer of a link has sent its stamp.
     pub fn peer_answered(&mut self, link: LinkId) {
-        self.heard.insert(link);
+        self.answered.insert(link);
     }
 
-    /// Notes that a link has ended.
+    /// Records that a link was closed; its peer is no longer waited for.
     pub fn link_closed(&mut self, link: LinkId) {
-        self.waiting.swap_remove(&link);
-        self.heard.swap_remove(&link);
+        self.pending.swap_remove(&link);
+        self.answered.swap_remove(&link);
     }
 
-    /// Settles the peers from which nothing newer is to come and returns their links, to be
-    /// closed.
+    /// Removes the peers that have answered and from which no newer document is awaited, and
+    /// returns their links, which can be closed.
     ///
-    /// The links of the others stay open, not just the one on which the document was asked for.
-    /// Its peer may die before it answers; then the process would serve on what it read from a
-    /// stale platform, although it knows better: one would see a revision come back that the
-    /// fleet left long ago.
-    pub fn finish_peers(&mut self, is_awaited: impl Fn(LinkId) -> bool) -> Vec<LinkId> {
+    /// All links on which a newer document is awaited stay open, not just the one on which it was
+    /// requested, because that peer may fail before it answers. Without the others, the process
+    /// would serve with a document of a stale platform although it knows of a newer one, and a
+    /// revision that the fleet left long ago would come into force again.
+    pub fn finish_peers(&mut self, is_document_awaited: impl Fn(LinkId) -> bool) -> Vec<LinkId> {
         let done: Vec<LinkId> =
-            self.heard.iter().copied().filter(|link| !is_awaited(*link)).collect();
+            self.answered.iter().copied().filter(|link| !is_document_awaited(*link)).collect();
         done.iter().for_each(|link| self.link_closed(*link));
         done
     }
 
-    /// Whether the link was opened for the gate.
+    /// Whether a link belongs to the gate.
     #[must_use]
     pub fn owns(&self, link: LinkId) -> bool {
         (self.first_link.0..self.first_link.0 + Self::link_count()).contains(&link.0)
@@ -110,13 +110,14 @@
     /// Whether the process may serve.
     #[must_use]
     pub fn is_open(&self, now: Now) -> bool {
-        self.begun && (self.waiting.is_empty() || self.deadline.is_past(now))
+        self.has_instance_list && (self.pending.is_empty() || self.deadline.is_past(now))
     }
 
-    /// Agents, one in each failure domain first, in an order that differs between processes.
+    /// Chooses the agents to ask, from as many failure domains as possible, in an order that
+    /// differs between processes.
     ///
-    /// Were they taken in the order of the list, a fleet that starts all at once would open all its
-    /// links to the same three agents; one would see their memory grow with the fleet.
+    /// In the order of the list, a fleet that starts all at once would open its links to the same
+    /// three agents, and their memory use would grow with the fleet.
     fn probes(&self, instances: &[Instance]) -> Vec<Probe> {
         let key = rendezvous::key_of(&self.own.0);
         let mut peers: Vec<_> =
@@ -127,10 +128,10 @@
             by_domain.entry(&peer.failure_domain).or_default().push(peer);
         }
         let depth = by_domain.values().map(Vec::len).max().unwrap_or(0);
-        let in_turn =
+        let interleaved =
             (0..depth).flat_map(|row| by_domain.values().filter_map(move |column| column.get(row)));
-        in_turn
-            .take(PROBES)
+        interleaved
+            .take(MAX_PROBES)
             .zip(self.first_link.0..)
             .map(|(instance, link)| Probe {
                 link: LinkId(link),
