--- a/crates/core/src/limits/share.rs
+++ b/crates/core/src/limits/share.rs
@@ -82,7 +82,7 @@
     increase: Option<Increase>,
     /// Whether the share was set without a valid total.
     fallen_back: bool,
-    homes: [Option<HomeAgentTotal>; HOME_AGENTS_PER_TEAM],
+    totals: [Option<HomeAgentTotal>; HOME_AGENTS_PER_TEAM],
     peak_entries: u32,
     peak_valid_until: UnixMs,
 }
@@ -94,7 +94,7 @@
             fraction: fair_fraction(entries),
             increase: None,
             fallen_back: true,
-            homes: [None; HOME_AGENTS_PER_TEAM],
+            totals: [None; HOME_AGENTS_PER_TEAM],
             peak_entries: 0,
             peak_valid_until: UnixMs::default(),
         }
@@ -123,7 +123,7 @@
         if std::mem::take(&mut self.fallen_back) {
             self.increase = None;
         }
-        self.homes[home] = Some(total);
+        self.totals[home] = Some(total);
         self.remember_peak(now, total.entries);
         let entries = self.entries_or_peak(entries);
         let target = self.target(now, entries);
@@ -132,7 +132,7 @@
 
     /// Discards all totals, because the team's home agents have changed.
     pub(super) fn forget_totals(&mut self) {
-        self.homes = [None; HOME_AGENTS_PER_TEAM];
+        self.totals = [None; HOME_AGENTS_PER_TEAM];
         self.increase = None;
     }
 
@@ -143,13 +143,13 @@
 
     /// Returns the mean demand per entry, or none without a valid total.
     pub(super) fn mean_per_s(&self, now: Now) -> Option<f64> {
-        let means = self.valid_totals(now).filter(|home| home.entries > 0);
-        means.map(|home| home.total_per_s / f64::from(home.entries)).reduce(f64::max)
+        let means = self.valid_totals(now).filter(|total| total.entries > 0);
+        means.map(|total| total.total_per_s / f64::from(total.entries)).reduce(f64::max)
     }
 
     /// Whether the team's demand over all entries is unknown or close to `limit_per_s`.
     pub(super) fn is_near_limit(&self, now: Now, limit_per_s: f64) -> bool {
-        let largest = self.valid_totals(now).map(|home| home.total_per_s).reduce(f64::max);
+        let largest = self.valid_totals(now).map(|total| total.total_per_s).reduce(f64::max);
         largest.is_none_or(|total_per_s| total_per_s > limit_per_s * NEAR_LIMIT_FRACTION)
     }
 
@@ -163,7 +163,7 @@
     }
 
     fn valid_totals(&self, now: Now) -> impl Iterator<Item = &HomeAgentTotal> {
-        self.homes.iter().flatten().filter(move |home| !home.valid_until.is_past(now))
+        self.totals.iter().flatten().filter(move |total| !total.valid_until.is_past(now))
     }
 
     /// Moves the share to the fair one, `1 / entries`, while no total is valid.
@@ -203,19 +203,19 @@
     /// Returns the smaller of the shares that follow from the totals of the two home agents.
     fn target(&self, now: Now, entries: u32) -> f64 {
         self.valid_totals(now)
-            .map(|home| self.target_from(home, entries))
+            .map(|total| self.target_from(total, entries))
             .reduce(f64::min)
             .unwrap_or_else(|| fair_fraction(entries))
     }
 
     /// Returns the share in proportion to demand by one total, after the fair shares of entries
     /// that stopped reporting are subtracted.
-    fn target_from(&self, home: &HomeAgentTotal, entries: u32) -> f64 {
+    fn target_from(&self, total: &HomeAgentTotal, entries: u32) -> f64 {
         let fair = fair_fraction(entries);
-        let silent = self.peak_entries.min(entries).saturating_sub(home.entries);
-        let remaining = 1.0 - f64::from(silent) * fair;
-        let total_per_s = home.total_per_s.max(home.reported_per_s);
-        let proportion = if total_per_s > 0.0 { home.reported_per_s / total_per_s } else { fair };
+        let not_reporting = self.peak_entries.min(entries).saturating_sub(total.entries);
+        let remaining = 1.0 - f64::from(not_reporting) * fair;
+        let total_per_s = total.total_per_s.max(total.reported_per_s);
+        let proportion = if total_per_s > 0.0 { total.reported_per_s / total_per_s } else { fair };
         remaining * (1.0 - EVEN_FRACTION) * proportion + EVEN_FRACTION * fair
     }
 
--- a/crates/core/src/limits/shared.rs
+++ b/crates/core/src/limits/shared.rs
@@ -53,7 +53,7 @@
         let mut due = Vec::new();
         for (team, row) in self.teams.values().enumerate() {
             let active = row.demand_per_s(now) > 0.0;
-            for (home, home_row) in row.homes.iter().enumerate() {
+            for (home, home_row) in row.home_agents.iter().enumerate() {
                 let has_reported_demand = home_row.reported_per_s > 0.0;
                 if home_row.report_due.is_past(now) && (active || has_reported_demand) {
                     due.push(DueDemand { at: home_row.report_due, team, home });
@@ -71,7 +71,7 @@
             let Some((team, _)) = self.teams.get_index(due.team) else { continue };
             let requests_per_s = row.demand_per_s(now) as f32;
             let demand = TeamDemand { team: team.clone(), requests_per_s };
-            batches.add(&row.homes[due.home].id, demand);
+            batches.add(&row.home_agents[due.home].id, demand);
         }
         batches
     }
@@ -80,7 +80,7 @@
         for demand in &report.demands {
             let Some(row) = self.teams.get_mut(&demand.team) else { continue };
             let next = now.after(row.report_period_ms(now));
-            for home in row.homes.iter_mut().filter(|home| home.id == report.to) {
+            for home in row.home_agents.iter_mut().filter(|home| home.id == report.to) {
                 home.report_due = next;
                 home.reported_per_s = f64::from(demand.requests_per_s);
             }
--- a/crates/core/src/limits/team.rs
+++ b/crates/core/src/limits/team.rs
@@ -26,7 +26,7 @@
 /// The limit, measured demand, share and bucket of one team.
 #[derive(Clone, Debug)]
 pub(super) struct TeamRow {
-    pub(super) homes: Vec<HomeAgentRow>,
+    pub(super) home_agents: Vec<HomeAgentRow>,
     limit: TeamLimit,
     demand: ArrivalRate,
     share: Share,
@@ -51,7 +51,7 @@
         let mut share = Share::fair(entries);
         let params = bucket_params(team.limit, share.fraction(now, entries));
         Self {
-            homes: home_rows(now, team, document),
+            home_agents: home_agent_rows(now, team, document),
             limit: team.limit,
             demand: ArrivalRate::default(),
             share,
@@ -62,9 +62,10 @@
 
     /// Applies a newly adopted document.
     pub(super) fn adopt(&mut self, now: Now, entries: u32, team: &Team, document: &Document) {
-        let homes = home_rows(now, team, document);
-        if !homes.iter().map(|home| &home.id).eq(self.homes.iter().map(|home| &home.id)) {
-            self.homes = homes;
+        let home_agents = home_agent_rows(now, team, document);
+        if !home_agents.iter().map(|home| &home.id).eq(self.home_agents.iter().map(|home| &home.id))
+        {
+            self.home_agents = home_agents;
             self.share.forget_totals();
         }
         self.limit = team.limit;
@@ -86,10 +87,10 @@
         from: &BackendServerId,
         total: &TeamTotal,
     ) {
-        let Some(index) = self.homes.iter().position(|home| home.id == *from) else {
+        let Some(index) = self.home_agents.iter().position(|home| home.id == *from) else {
             return;
         };
-        let total = HomeAgentTotal::new(now, self.homes[index].reported_per_s, total);
+        let total = HomeAgentTotal::new(now, self.home_agents[index].reported_per_s, total);
         self.share.receive_total(now, entries, index, total);
         self.refresh(now, entries);
     }
@@ -137,7 +138,7 @@
     (part + spread).max(MIN_CAPACITY).min(burst.max(1.0))
 }
 
-fn home_rows(now: Now, team: &Team, document: &Document) -> Vec<HomeAgentRow> {
+fn home_agent_rows(now: Now, team: &Team, document: &Document) -> Vec<HomeAgentRow> {
     home_agents_of(document, &team.id)
         .into_iter()
         .map(|id| HomeAgentRow { id, report_due: now.unix_ms, reported_per_s: 0.0 })
--- a/crates/core/src/routing/server_estimates.rs
+++ b/crates/core/src/routing/server_estimates.rs
@@ -111,7 +111,7 @@
         self.typical_ms.unwrap_or(1.0).max(1.0)
     }
 
-    /// Returns the row of a backend server, decayed up to now; a new row starts at the typical time.
+    /// Returns the row of a backend server, decayed up to now; new rows start at the typical time.
     fn decayed_row(&mut self, now: Now, id: &BackendServerId, typical_ms: f64) -> &mut Row {
         let fresh = Row { first_chunk_ms: typical_ms, failed_share: 0.0, updated: now.unix_ms };
         let row = self.rows.entry(id.clone()).or_insert(fresh);
