--- a/crates/core/src/audit.rs
+++ b/crates/core/src/audit.rs
@@ -1,4 +1,4 @@
-//! Typed records of changes to anything that defines behaviour.
+//! Records of the audit trail: changes to anything that determines the system's behaviour.
 
 use crate::ids::{Fencing, Incarnation, InstanceId};
 use crate::time::UnixMs;
@@ -6,36 +6,36 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One change, before it is numbered and chained by the trail of its process.
+/// One audit record, before the audit trail of its process adds a number and a hash chain.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AuditRecord {
-    /// When it happened.
+    /// When the change happened.
     pub at: UnixMs,
-    /// Who brought it about.
+    /// Who caused the change.
     pub actor: Actor,
-    /// The document in force at that moment.
+    /// Stamp of the document in force at that time.
     pub stamp: Stamp,
     /// What changed.
     pub change: Change,
 }
 
 impl AuditRecord {
-    /// A record with the actor that its kind of change always has.
+    /// Creates a record; the kind of change determines the actor.
     #[must_use]
     pub fn new(at: UnixMs, stamp: Stamp, change: Change) -> Self {
         Self { at, actor: change.actor(), stamp, change }
     }
 }
 
-/// Who brought a change about.
+/// Who caused a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Actor {
     /// The process itself.
     System,
-    /// The platform, by what it published or whom it told to stop.
+    /// The platform, by publishing something or by stopping a process.
     Platform,
-    /// An operator, by the name in the settings.
+    /// An operator, identified by the name in the settings.
     Operator(String),
 }
 
@@ -49,41 +49,41 @@
     }
 }
 
-/// The kinds of change.
+/// A change with its details.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Change {
-    /// Another document is in force.
+    /// A new document came into force.
     DocumentAdopted {
-        /// The one before.
+        /// Stamp of the previous document.
         before: Stamp,
-        /// The one in force now.
+        /// Stamp of the document now in force.
         after: Stamp,
     },
-    /// A published document was refused; the one before stays in force.
+    /// A published document was refused; the previous one stays in force.
     DocumentRejected {
-        /// The refused one.
+        /// Stamp of the refused document.
         rejected: Stamp,
-        /// Why.
+        /// Why it was refused.
         reason: String,
     },
-    /// A process began to drain.
+    /// A process started to drain.
     DrainBegun,
-    /// A process has nothing left to finish.
+    /// A process finished its last work after a drain.
     DrainEnded,
-    /// A backend server no longer gets new work because of its failures.
+    /// An entry stopped sending new work to a backend server because of its failures.
     CircuitOpened {
         /// The backend server.
         backend_server: BackendServerId,
-        /// Why.
+        /// Why the circuit opened.
         reason: String,
     },
-    /// A backend server gets new work again.
+    /// An entry sends new work to a backend server again.
     CircuitClosed {
         /// The backend server.
         backend_server: BackendServerId,
     },
-    /// A link went silent and was replaced.
+    /// A link received no messages for too long and was replaced.
     LinkSilent {
         /// The backend server at its other end.
         backend_server: BackendServerId,
@@ -96,55 +96,55 @@
     MapChanged {
         /// The group.
         group: ModelGroupId,
-        /// Version before.
+        /// Previous version of the map.
         before: u64,
-        /// Version now.
+        /// New version of the map.
         after: u64,
-        /// Why.
+        /// Why the map was changed.
         reason: String,
     },
-    /// An order went to a backend server.
+    /// An order was sent to a backend server.
     OrderGiven {
         /// The backend server.
         backend_server: BackendServerId,
-        /// Its fencing token.
+        /// Fencing token of the order.
         fencing: Fencing,
-        /// What was ordered.
+        /// The order as text.
         order: String,
     },
-    /// An order was refused for its old fencing token.
+    /// An order was refused because its fencing token was too old.
     OrderRefused {
         /// The backend server.
         backend_server: BackendServerId,
         /// The refused token.
         fencing: Fencing,
-        /// The lowest token that would have been taken.
+        /// The lowest token that would have been accepted.
         lowest: Fencing,
     },
-    /// An invariant did not hold.
+    /// An invariant was violated.
     InvariantViolated {
-        /// Which, and what was seen.
+        /// The invariant, and what was observed.
         detail: String,
     },
     /// A key or certificate was renewed.
     KeyRenewed {
-        /// Which.
+        /// The key or certificate.
         subject: String,
     },
-    /// An operator signed in.
+    /// An operator tried to sign in.
     SignIn {
-        /// Who.
+        /// Name of the operator.
         operator: String,
-        /// Whether the credentials were right.
+        /// Whether the credentials were valid.
         accepted: bool,
     },
-    /// A draft was handed out to be published; the digest tells which document came of it.
+    /// An operator downloaded a draft in order to publish it.
     DraftHandedOut {
-        /// Who made it.
+        /// Name of the operator.
         operator: String,
-        /// The document that it replaces.
+        /// Stamp of the document that the draft replaces.
         base: Stamp,
-        /// Digest of the draft.
+        /// Digest of the draft, which identifies the document once it is published.
         digest: Digest,
     },
 }
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,16 +1,17 @@
-//! Identifiers of running things. Names from the document live in `hickorycross-config`.
+//! Identifiers of processes, links and requests. Identifiers from the configuration document are
+//! defined in `hickorycross-config`.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 
-/// Names an instance in the platform's instance list.
+/// Identifier of an instance in the platform's instance list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct InstanceId(pub Arc<str>);
 
 impl InstanceId {
-    /// Makes an identifier from its text.
+    /// Creates an identifier from its text.
     #[must_use]
     pub fn new(text: &str) -> Self {
         Self(Arc::from(text))
@@ -23,32 +24,32 @@
     }
 }
 
-/// One life of a process: drawn at random when it starts, so that a successor on the same address
-/// is never taken for it.
+/// Identifier of one run of a process, chosen at random at its start, so that a process restarted
+/// on the same address is never mistaken for its predecessor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// One connection between two processes, numbered by the process that holds this end.
+/// Number of a connection to another process, local to the process that assigned it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LinkId(pub u64);
 
-/// One request of a caller, unique over all entries.
+/// Identifier of a caller's request, unique across all entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId {
-    /// The entry's incarnation.
+    /// Incarnation of the entry that received the request.
     pub entry: Incarnation,
-    /// Counts the entry's requests.
+    /// Sequence number of the request at that entry.
     pub sequence: u64,
 }
 
-/// One try of a request at one backend server.
+/// Identifier of one attempt to execute a request at a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The request that it serves.
+    /// The request.
     pub request: RequestId,
-    /// Counts the tries of the request from 0.
+    /// Number of the attempt within the request, from 0.
     pub ordinal: u16,
 }
 
@@ -70,7 +71,7 @@
     }
 }
 
-/// A fencing token: an order with a lower one than its receiver has seen is refused.
+/// A fencing token: a receiver refuses an order with a lower token than the highest it has seen.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/core/src/instance.rs
+++ b/crates/core/src/instance.rs
@@ -1,44 +1,44 @@
-//! The platform's instance list.
+//! Rows of the platform's instance list.
 
 use crate::ids::InstanceId;
 use hickorycross_config::{BackendServerId, FailureDomainId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What an instance is for.
+/// The role of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// It accepts callers' requests.
+    /// Runs an entry, which accepts callers' requests.
     Entry,
-    /// It hosts a backend server with an agent beside it.
+    /// Runs a backend server, and an agent that manages the requests to it.
     Agent {
-        /// The backend server of the document that it hosts.
+        /// Identifier of the backend server in the document.
         backend_server: BackendServerId,
     },
 }
 
-/// What the platform says of an instance. The list lags.
+/// State of an instance according to the platform, which may lag behind the actual state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
-    /// It is meant to be up.
+    /// The instance is expected to run.
     Live,
-    /// It is about to be stopped.
+    /// The instance is about to be stopped.
     Leaving,
 }
 
 /// One row of the instance list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its name.
+    /// Identifier of the instance.
     pub id: InstanceId,
-    /// What it is for.
+    /// Role of the instance.
     pub role: Role,
-    /// Where our process on it listens for links.
+    /// Address on which its hickorycross process accepts links.
     pub link_address: SocketAddr,
-    /// Where it stands.
+    /// The failure domain in which it runs.
     pub failure_domain: FailureDomainId,
-    /// Whether it is leaving.
+    /// Whether the instance is live or leaving.
     pub state: InstanceState,
 }
--- a/crates/core/src/key_digest.rs
+++ b/crates/core/src/key_digest.rs
@@ -1,4 +1,4 @@
-//! Digest of a caller's idempotency key.
+//! Digests of callers' idempotency keys.
 
 use crate::time::UnixMs;
 use hickorycross_config::TeamId;
@@ -13,14 +13,15 @@
 
 /// Identifies a caller's idempotency key within its team.
 ///
-/// The upper 48 bits are the moment of creation in milliseconds since the Unix epoch if the key is
-/// a UUID of version 7 (RFC 9562), else zero. The lower 80 bits hash the team and the whole key, so
-/// a moment never stands beside a key that it was not part of.
+/// The upper 48 bits are the creation time in milliseconds since the Unix epoch if the key is a
+/// UUID of version 7 (RFC 9562), and zero otherwise. The lower 80 bits are a hash of the team and
+/// the whole key, so that a creation time is never combined with a key that does not contain it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyDigest(pub u128);
 
 impl KeyDigest {
-    /// Digests a key together with the team that sent it, so that teams never share a key.
+    /// Computes the digest of a key and the team that sent it, so that the same key of two teams
+    /// has two digests.
     #[must_use]
     pub fn of(team: &TeamId, key: &str) -> Self {
         let mut hasher = Xxh3::new();
@@ -31,7 +32,7 @@
         Self((u128::from(created_unix_ms) << HASH_BITS) | (hasher.digest128() & HASH_MASK))
     }
 
-    /// When the caller's clock made the key, if the key says so.
+    /// Returns the creation time of the key by the caller's clock, if the key contains one.
     #[must_use]
     pub const fn created(self) -> Option<UnixMs> {
         match (self.0 >> HASH_BITS) as u64 {
@@ -41,6 +42,7 @@
     }
 }
 
+/// Returns the creation time in a UUID of version 7; none if the key is not one.
 fn uuid_v7_unix_ms(key: &str) -> Option<u64> {
     let bytes = key.as_bytes();
     let hyphen_at = |index: usize| matches!(index, 8 | 13 | 18 | 23);
--- a/crates/core/src/key_home.rs
+++ b/crates/core/src/key_home.rs
@@ -1,15 +1,18 @@
-//! Which backend server remembers an idempotency key.
+//! Assignment of idempotency keys to the backend servers whose agents remember them.
 
 use crate::message::KeyDigest;
 use hickorycross_config::BackendServerId;
 use std::cmp::Reverse;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Keeps these hashes apart from other uses of the same function.
+/// Seed that makes these hashes independent of other uses of the same hash function.
 const KEY_HOME_SEED: u64 = 0x6b65_795f_686f_6d65;
 
-/// The home of a key: rendezvous hash over the backend servers that the document names for the
-/// route. Processes on one revision agree, whatever their instance lists say.
+/// Returns the home of an idempotency key: the backend server whose agent remembers the key.
+///
+/// The home is chosen by rendezvous hashing over `backends`, the backend servers that the document
+/// names for the route. Processes with the same revision therefore agree on it, even when their
+/// instance lists differ. Returns none if `backends` is empty.
 #[must_use]
 pub fn key_home<'a>(
     backends: &[&'a BackendServerId],
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,18 +1,19 @@
-//! The decisions of hickorycross.
+//! The decision logic of hickorycross, without I/O.
 //!
-//! Entities stand in tables; systems run over them at each event. Nothing here reads a clock,
-//! opens a socket, starts a thread, logs or draws from a global random source: every input is a
-//! typed event with a [`Now`], every output a typed action. The same events and the same seed give
-//! the same actions.
+//! State is kept in tables, and each event updates the rows that it concerns. Nothing in this crate
+//! reads a clock, opens a socket, starts a thread, logs or uses a global random source: every input
+//! is a typed event with a [`Now`], and every output is a typed action. The same events and the
+//! same seed always produce the same actions, so tests can run whole systems in virtual time.
 //!
-//! - [`entry`] and [`agent`] are the two ends of a request's path; [`message`] is what they say to
-//!   each other.
-//! - [`routing`], [`limits`], [`health`] and [`retry`] are the policies that an entry consults.
-//! - [`group`] keeps one expert map in every step; [`placement`] decides when to change it.
-//! - [`direct`] holds what an entry decides when it reaches backend servers without agents.
+//! - [`entry`] receives callers' requests and [`agent`] runs them beside a backend server;
+//!   [`message`] defines the messages between the two.
+//! - [`routing`], [`limits`], [`health`] and [`retry`] are the policies that an entry uses.
+//! - [`group`] makes all ranks of a model group use the same expert map in each step;
+//!   [`placement`] decides when to change the map.
 //! - [`map_change`] changes the expert map of a group whose ranks take orders one by one.
-//! - [`adoption`] decides which document is in force.
-//! - [`audit`] holds the records of every change that defines behaviour.
+//! - [`direct`] makes the decisions of an entry that reaches backend servers without agents.
+//! - [`adoption`] decides which configuration document is in force.
+//! - [`audit`] defines the records of changes to anything that determines behaviour.
 
 mod ids;
 mod instance;
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -1,7 +1,7 @@
 //! The messages between entries and agents.
 //!
-//! Every message may be lost, doubled, delayed or overtaken: a receiver judges it by the
-//! identifiers that it carries, never by the link on which it came.
+//! Any message may be lost, duplicated, delayed or reordered. A receiver therefore relies on the
+//! identifiers in a message, never on the link on which it arrived.
 
 use crate::ids::{AttemptId, Incarnation, RequestId};
 pub use crate::key_digest::KeyDigest;
@@ -11,27 +11,27 @@
 use hickorycross_config::{RouteId, Stamp, TeamId, TierId};
 use serde::{Deserialize, Serialize};
 
-/// One HTTP header, name in lower case.
+/// One HTTP header.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// Its name.
+    /// Name in lower case.
     pub name: String,
-    /// Its value, as received.
+    /// Value as received.
     pub value: Vec<u8>,
 }
 
-/// What a backend server needs of a request besides its body.
+/// Method, path and headers of a request to a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestHead {
     /// HTTP method, in upper case.
     pub method: String,
-    /// Path with query.
+    /// Path with the query string.
     pub path: String,
     /// Headers to pass on, without hop-by-hop headers.
     pub headers: Vec<Header>,
 }
 
-/// Status and headers of a backend server's answer.
+/// Status and headers of a backend server's response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResponseHead {
     /// HTTP status code.
@@ -40,26 +40,26 @@
     pub headers: Vec<Header>,
 }
 
-/// Hands one attempt to an agent.
+/// Submits one attempt to an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submit {
-    /// The attempt; a second copy with the same identifier is answered, not run again.
+    /// The attempt. A duplicate with the same identifier is answered, but not executed again.
     pub attempt: AttemptId,
-    /// The agent incarnation that it is meant for; any other refuses it.
+    /// Incarnation of the addressed agent; any other refuses the attempt.
     pub agent: Incarnation,
-    /// The team that pays.
+    /// The team that sent the request.
     pub team: TeamId,
-    /// The tier that orders the queue.
+    /// The tier of the request, which determines its priority in the queue.
     pub tier: TierId,
-    /// The route that matched.
+    /// The route of the request.
     pub route: RouteId,
-    /// Whether the request may run more than once.
+    /// Whether the request may be executed more than once.
     pub idempotent: bool,
     /// The caller's idempotency key, if it sent one.
     pub key: Option<KeyDigest>,
     /// Digest of method, path and body, so that a key reused for another request is refused.
     pub content: u64,
-    /// Work on it must not begin at or after this moment.
+    /// Execution must not begin at or after this time.
     pub deadline: UnixMs,
     /// Method, path and headers.
     pub head: RequestHead,
@@ -67,12 +67,12 @@
     pub body: Bytes,
 }
 
-/// What an entry tells an agent.
+/// A message from an entry to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToAgent {
-    /// Run this attempt.
+    /// Queue and execute an attempt.
     Submit(Box<Submit>),
-    /// Send the answer of an attempt on this link from now on, beginning at a chunk.
+    /// Send the response of an attempt on this link from now on, starting at a given chunk.
     Attach {
         /// The attempt.
         attempt: AttemptId,
@@ -81,223 +81,226 @@
         /// Index of the first chunk that the entry does not have.
         next_chunk: u32,
     },
-    /// Make sure that the attempt does not start, or say that it has.
+    /// Prevent the attempt from starting, or report that it has started.
     Revoke {
         /// The attempt.
         attempt: AttemptId,
-        /// The agent incarnation that it was meant for.
+        /// The agent incarnation to which the attempt was submitted.
         agent: Incarnation,
-        /// Deadline of the attempt: a tombstone is kept until it has safely passed.
+        /// Deadline of the attempt; a tombstone is kept until it has safely passed.
         deadline: UnixMs,
-        /// Index of the first chunk that the entry does not have, should it be running.
+        /// Index of the first chunk that the entry does not have, in case the attempt has started.
         next_chunk: u32,
     },
-    /// Nobody waits for the attempt any more: stop it if possible.
+    /// Stop the attempt if possible, because nobody waits for its response any more.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// The entry holds every chunk before this one.
+    /// Acknowledges all chunks before a given one.
     Received {
         /// The attempt.
         attempt: AttemptId,
-        /// Index of the first chunk not yet held; one more than the count of chunks once the end
-        /// marker has come too. Naming just the count says nothing of the end marker.
+        /// Index of the first chunk not yet received. Once the end marker has arrived too, this is
+        /// one more than the number of chunks; the number itself does not acknowledge the marker.
         next_chunk: u32,
     },
-    /// Sign of life; answered by [`ToEntry::HeartbeatAck`].
+    /// Shows that the entry is alive; answered by [`ToEntry::HeartbeatAck`].
     Heartbeat {
-        /// Repeated in the answer.
+        /// Repeated in the reply.
         nonce: u64,
-        /// What the entry has adopted.
+        /// Stamp of the document that the entry has adopted.
         stamp: Stamp,
     },
-    /// The entry's demand for teams whose totals this agent sums up.
+    /// The entry's demand for teams of which this agent is a home agent; answered by
+    /// [`ToEntry::Totals`].
     Demand(Vec<TeamDemand>),
 }
 
-/// One entry's demand for one team.
+/// One team's demand at one entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TeamDemand {
     /// The team.
     pub team: TeamId,
-    /// Requests a second that callers brought to this entry, refused ones included.
+    /// Requests per second that the entry received, refused ones included.
     pub requests_per_s: f32,
 }
 
-/// Demand for one team over all entries that an agent has heard of lately.
+/// One team's demand over all entries that have recently reported it to the agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TeamTotal {
     /// The team.
     pub team: TeamId,
-    /// Sum of the entries' demands.
+    /// Sum of the entries' demand, in requests per second.
     pub requests_per_s: f32,
-    /// Entries in the sum.
+    /// Number of entries in the sum.
     pub entries: u32,
 }
 
-/// Whether an agent takes new work.
+/// Whether an agent accepts new attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AgentState {
-    /// It takes new work.
+    /// The agent accepts new attempts.
     Serving,
-    /// It finishes what it has and takes nothing new.
+    /// The agent finishes its attempts and accepts no new ones.
     Leaving,
-    /// Its backend server does not answer.
+    /// The agent's backend server does not respond.
     BackendDown,
 }
 
-/// Requests of one tier that wait beside a backend server.
+/// Requests of one tier that wait in an agent's queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TierWaiting {
     /// Rank of the tier.
     pub rank: u8,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub requests: u32,
 }
 
-/// Load of one backend server, as its agent saw it.
+/// Load report of one backend server, sampled by its agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// When it was sampled.
+    /// When the load was sampled, by the agent's clock.
     pub sampled: UnixMs,
-    /// Whether new work is taken.
+    /// Whether the agent accepts new attempts.
     pub state: AgentState,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that can run at once.
+    /// Number of requests that can run at once.
     pub slots: u32,
-    /// Waiting requests by tier, only tiers with any.
+    /// Waiting requests by tier; contains only tiers with waiting requests.
     pub waiting: Vec<TierWaiting>,
-    /// Smoothed time that one request occupies a slot.
+    /// Smoothed time that a request occupies a slot.
     pub service_ms: u32,
 }
 
-/// Why an agent refuses an attempt. Each of these proves that it did not run.
+/// Why an agent refuses an attempt. Each reason guarantees that this agent did not execute it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// The queue is full, or a higher tier took the place.
+    /// The queue is full, or an attempt of a higher tier displaced this one.
     QueueFull,
-    /// The agent is leaving.
+    /// The agent is shutting down.
     Leaving,
     /// The deadline has passed.
     Expired,
     /// The attempt was revoked before.
     Revoked,
-    /// It was meant for another incarnation of the agent. This one did not run it; an entry that
-    /// sent it to the other one as well knows nothing of what that one did.
+    /// The attempt was addressed to another incarnation of the agent. This says nothing about
+    /// whether that incarnation executed it, if the entry sent it there as well.
     WrongIncarnation,
-    /// This agent is not the home of the idempotency key under its revision.
+    /// This agent is not the home of the idempotency key under its document revision.
     NotKeyHome,
     /// The backend server cannot be reached.
     BackendDown,
-    /// The agent's document does not know the route or tier yet.
+    /// The route or tier does not exist in the agent's document yet.
     UnknownRoute,
-    /// The key was used before for a request with another content.
+    /// The idempotency key was used before for a request with another content.
     KeyConflict,
-    /// The moment of creation in the key lies ahead: nothing may run under it before.
+    /// The creation time in the idempotency key is in the future; no request may run under the key
+    /// before that time.
     KeyNotYetValid,
 }
 
-/// What came of a revocation.
+/// The result of a revocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RevokeOutcome {
-    /// It had not started and never will.
+    /// The attempt had not started and never will.
     Tombstoned,
-    /// It had started: its answer follows on this link.
+    /// The attempt had started; its response follows on this link.
     Attached,
-    /// It was meant for another incarnation, of which nothing is known.
+    /// The attempt was addressed to another incarnation, about which the agent knows nothing.
     UnknownIncarnation,
 }
 
-/// What an agent tells an entry.
+/// A message from an agent to an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToEntry {
     /// The attempt is queued or running.
     Accepted {
         /// The attempt.
         attempt: AttemptId,
-        /// Load at that moment.
+        /// Load of the backend server at that time.
         load: Load,
     },
     /// The attempt did not run and will not.
     Refused {
         /// The attempt.
         attempt: AttemptId,
-        /// Why.
+        /// Why the attempt was refused.
         reason: RefusalReason,
-        /// Earliest moment at which coming back makes sense.
+        /// Earliest time at which a retry may succeed, if known.
         retry_at: Option<UnixMs>,
-        /// Load at that moment.
+        /// Load of the backend server at that time.
         load: Load,
     },
-    /// The answer begins.
+    /// The response starts.
     Head {
         /// The attempt.
         attempt: AttemptId,
         /// Status and headers.
         head: ResponseHead,
     },
-    /// A piece of the answer.
+    /// A chunk of the response body.
     Chunk {
         /// The attempt.
         attempt: AttemptId,
-        /// Counts the pieces from 0.
+        /// Index of the chunk, from 0.
         index: u32,
-        /// The bytes.
+        /// The bytes of the chunk.
         bytes: Bytes,
     },
-    /// The answer is whole if the receiver holds exactly this many pieces and bytes.
+    /// End marker: the response is complete once the receiver has exactly this many chunks and
+    /// bytes.
     End {
         /// The attempt.
         attempt: AttemptId,
-        /// Pieces of the answer.
+        /// Number of chunks of the response.
         chunk_count: u32,
-        /// Bytes of all pieces.
+        /// Number of bytes of all chunks.
         byte_count: u64,
-        /// Load at that moment.
+        /// Load of the backend server at that time.
         load: Load,
     },
-    /// The attempt ended without a whole answer.
+    /// The attempt ended without a complete response.
     Failed {
         /// The attempt.
         attempt: AttemptId,
-        /// What is known of its execution.
+        /// Whether the attempt may have been executed.
         verdict: Verdict,
-        /// For people.
+        /// Human-readable cause of the failure.
         detail: String,
     },
-    /// The request with this key has already been given to the backend server under another
-    /// attempt, and its answer cannot be repeated.
+    /// A request with this idempotency key was already sent to the backend server in another
+    /// attempt, and its response cannot be repeated.
     KeyUsed {
-        /// The attempt, which did not run itself.
+        /// The attempt, which was not executed itself.
         attempt: AttemptId,
         /// The request that used the key, if known.
         earlier: Option<RequestId>,
-        /// What is known of the earlier execution.
+        /// Whether the earlier request may have been executed.
         verdict: Verdict,
     },
-    /// Answer to [`ToAgent::Revoke`].
+    /// Reply to [`ToAgent::Revoke`].
     Revoked {
         /// The attempt.
         attempt: AttemptId,
-        /// What came of it.
+        /// Result of the revocation.
         outcome: RevokeOutcome,
     },
-    /// Answer to [`ToAgent::Heartbeat`].
+    /// Reply to [`ToAgent::Heartbeat`].
     HeartbeatAck {
-        /// As received.
+        /// Nonce of the heartbeat.
         nonce: u64,
-        /// What the agent has adopted.
+        /// Stamp of the document that the agent has adopted.
         stamp: Stamp,
-        /// Load at that moment.
+        /// Load of the backend server at that time.
         load: Load,
     },
-    /// Answer to [`ToAgent::Demand`].
+    /// Reply to [`ToAgent::Demand`].
     Totals(Vec<TeamTotal>),
-    /// The agent takes no new work from now on.
+    /// The agent accepts no new attempts from now on.
     Leaving,
 }
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,9 +1,9 @@
-//! Moments, as the programs hand them to the core.
+//! Points in time, which the programs pass to the core with each event.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A moment in milliseconds since the Unix epoch.
+/// A point in time, in milliseconds since the Unix epoch.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -11,22 +11,22 @@
 pub struct UnixMs(pub u64);
 
 impl UnixMs {
-    /// A moment that never comes.
+    /// A time that is never reached.
     pub const NEVER: Self = Self(u64::MAX);
 
-    /// The moment `span_ms` later; stops at [`UnixMs::NEVER`].
+    /// Returns the time `span_ms` later, at most [`UnixMs::NEVER`].
     #[must_use]
     pub const fn after(self, span_ms: u64) -> Self {
         Self(self.0.saturating_add(span_ms))
     }
 
-    /// Milliseconds from `earlier` until this moment; zero when it lies before.
+    /// Returns the milliseconds from `earlier` until this time; zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// Whether a deadline at this moment has passed at `now`.
+    /// Whether a deadline at this time has been reached at `now`.
     #[must_use]
     pub const fn is_past(self, now: Now) -> bool {
         self.0 <= now.unix_ms.0
@@ -39,24 +39,24 @@
     }
 }
 
-/// The moment at which an event is handled.
+/// The time at which an event is handled.
 ///
-/// The programs derive it from a monotonic clock anchored to the wall clock at start, so that it
-/// never goes back and a step of the wall clock does not move it.
+/// The programs derive it from a monotonic clock that is anchored to the wall clock at start, so
+/// that it never goes back, and adjustments of the wall clock do not affect it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Now {
-    /// The moment; never lower than in an earlier event of the same process.
+    /// The time; never lower than in an earlier event of the same process.
     pub unix_ms: UnixMs,
 }
 
 impl Now {
-    /// Makes a moment from milliseconds since the Unix epoch.
+    /// Creates a time from milliseconds since the Unix epoch.
     #[must_use]
     pub const fn at(unix_ms: u64) -> Self {
         Self { unix_ms: UnixMs(unix_ms) }
     }
 
-    /// The moment `span_ms` later, as a deadline.
+    /// Returns the time `span_ms` later, as a deadline.
     #[must_use]
     pub const fn after(self, span_ms: u64) -> UnixMs {
         self.unix_ms.after(span_ms)
--- a/crates/core/src/verdict.rs
+++ b/crates/core/src/verdict.rs
@@ -1,25 +1,25 @@
-//! Whether a request may have run.
+//! The verdict on whether a request was executed.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What is known about the execution of a request that ended without a whole answer.
+/// What is known about the execution of a request that ended without a complete response.
 ///
-/// The order is by how much may have happened: combining the verdicts of several attempts takes
-/// the greatest.
+/// Verdicts are ordered by how much may have been executed; several attempts of a request together
+/// have the greatest of their verdicts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// No backend server has started it and none will.
+    /// No backend server has started the request, and none will.
     NotRun,
-    /// A backend server may have started it; its outcome is unknown.
+    /// A backend server may have started the request; its outcome is unknown.
     MayHaveRun,
-    /// A backend server has run it, wholly or in part.
+    /// A backend server has executed the request, wholly or in part.
     Ran,
 }
 
 impl Verdict {
-    /// The text carried in the verdict header.
+    /// Returns the value of the verdict header in responses to callers.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether another attempt is permitted.
+    /// Whether a request with this verdict may be attempted again.
     #[must_use]
     pub const fn permits_retry(self, idempotent: bool) -> bool {
         idempotent || matches!(self, Self::NotRun)
