--- a/crates/core/tests/adoption_failures.rs
+++ b/crates/core/tests/adoption_failures.rs
@@ -1,15 +1,15 @@
-//! Documents that do not come at the first request: the exchange and the start gate of a process.
+//! Tests of the document exchange and the start gate when requests for documents fail.
 
 use hickorycross_config::{BackendServerId, FailureDomainId, Stamp};
 use hickorycross_core::adoption::{Exchange, ExchangeAction, Published, StartGate};
 use hickorycross_core::{Instance, InstanceId, InstanceState, LinkId, Now, Role};
 
-const PATIENCE_MS: u64 = 500;
-const RIVAL_PAUSE_MS: u64 = 4_000;
+const REQUEST_TIMEOUT_MS: u64 = 500;
+const CONFLICT_REPEAT_MS: u64 = 4_000;
 const FIRST: LinkId = LinkId(1);
 const SECOND: LinkId = LinkId(2);
 
-fn newer() -> Stamp {
+fn newer_stamp() -> Stamp {
     published(2).stamp()
 }
 
@@ -44,90 +44,120 @@
     }
 }
 
-fn asks(link: LinkId) -> Vec<ExchangeAction> {
+fn requests(link: LinkId) -> Vec<ExchangeAction> {
     vec![ExchangeAction::Request { link }]
 }
 
-/// What brings the second request about.
+/// An event that must cause a second request.
 struct Case {
     name: &'static str,
-    happens: fn(&mut Exchange) -> Vec<ExchangeAction>,
+    event: fn(&mut Exchange) -> Vec<ExchangeAction>,
 }
 
 const CASES: &[Case] = &[
-    Case { name: "the answer is lost", happens: |exchange| exchange.tick(Now::at(PATIENCE_MS)) },
-    Case { name: "the link ends", happens: |exchange| exchange.link_closed(Now::at(1), FIRST) },
+    Case {
+        name: "the answer is lost",
+        event: |exchange| exchange.tick(Now::at(REQUEST_TIMEOUT_MS)),
+    },
+    Case { name: "the link ends", event: |exchange| exchange.link_closed(Now::at(1), FIRST) },
 ];
 
-// Symptom: one process stays on the old revision for ten seconds and more after a change, although
-// all its peers have announced the new one.
-// Sequence: a starting process greets it with the new revision; it asks there; the greeting link
-// closes before the answer; its other peers announce the revision while it waits, and only once.
-// Cause: nothing asked another peer when the answer did not come; the next heartbeat had to.
+// Guards against a process that stays on the old revision for ten seconds and more after a change,
+// although all its peers have announced the new one. It requests the document from a starting
+// process whose link closes before the answer. The other peers announce the revision only once,
+// while that request is pending, so without a second request the process would wait for the next
+// heartbeat.
 #[test]
-fn a_document_that_does_not_come_is_asked_for_elsewhere() {
+fn a_document_that_does_not_arrive_is_requested_from_another_peer() {
     for case in CASES {
         let mut exchange = Exchange::default();
         assert_eq!(
-            exchange.learn_peer_stamp(Now::at(0), FIRST, newer()),
-            asks(FIRST),
+            exchange.learn_peer_stamp(Now::at(0), FIRST, newer_stamp()),
+            requests(FIRST),
+            "{}",
+            case.name
+        );
+        assert_eq!(
+            exchange.learn_peer_stamp(Now::at(1), SECOND, newer_stamp()),
+            [],
             "{}",
             case.name
         );
-        assert_eq!(exchange.learn_peer_stamp(Now::at(1), SECOND, newer()), [], "{}", case.name);
         assert_eq!(exchange.tick(Now::at(2)), [], "{}", case.name);
-        assert_eq!((case.happens)(&mut exchange), asks(SECOND), "{}", case.name);
-        let _ = exchange.offer(Now::at(PATIENCE_MS), &published(2));
-        assert_eq!(exchange.tick(Now::at(9 * PATIENCE_MS)), [], "{}", case.name);
+        assert_eq!((case.event)(&mut exchange), requests(SECOND), "{}", case.name);
+        let _ = exchange.offer(Now::at(REQUEST_TIMEOUT_MS), &published(2));
+        assert_eq!(exchange.tick(Now::at(9 * REQUEST_TIMEOUT_MS)), [], "{}", case.name);
     }
 }
 
-// Symptom: a new process serves on a revision that the whole fleet left long ago.
-// Sequence: the platform is stale; the process hears two peers with the newer revision and asks
-// the first; the link to the second is closed as settled; the first dies before it answers.
-// Cause: the start gate took one pending request for enough and gave up the other peers.
+// Guards against a new process that serves with a revision that the fleet left long ago. The
+// platform is stale, and the process requests the newer revision from the first of two peers. If
+// the start gate then closes the link to the second one and the first fails before it answers,
+// nothing but the stale document is left.
 #[test]
-fn the_start_gate_keeps_every_peer_that_is_ahead_until_its_document_is_here() {
+fn the_start_gate_keeps_every_newer_peer_until_its_document_arrives() {
     let mut exchange = Exchange::default();
     let mut gate = StartGate::new(InstanceId::new("own"), FIRST);
     assert_eq!(gate.update_instances(Now::at(0), &[agent(0), agent(1)]).len(), 2);
     let _ = exchange.offer(Now::at(0), &published(1));
     for link in [FIRST, SECOND] {
-        let _ = exchange.learn_peer_stamp(Now::at(1), link, newer());
+        let _ = exchange.learn_peer_stamp(Now::at(1), link, newer_stamp());
         gate.peer_answered(link);
         assert_eq!(gate.finish_peers(|link| exchange.awaits_document_from(link)), []);
     }
     gate.link_closed(FIRST);
-    assert_eq!(exchange.link_closed(Now::at(2), FIRST), asks(SECOND));
-    assert!(!gate.is_open(Now::at(2)), "the second peer is still to answer");
-    let _ = exchange.peer_offer(Now::at(3), newer(), &published(2).bytes);
+    assert_eq!(exchange.link_closed(Now::at(2), FIRST), requests(SECOND));
+    assert!(!gate.is_open(Now::at(2)), "the answer of the second peer is pending");
+    let _ = exchange.peer_offer(Now::at(3), newer_stamp(), &published(2).bytes);
     assert_eq!(gate.finish_peers(|link| exchange.awaits_document_from(link)), [SECOND]);
-    assert!(gate.is_open(Now::at(3)) && exchange.stamp() == newer());
+    assert!(gate.is_open(Now::at(3)) && exchange.stamp() == newer_stamp());
 }
 
-// Symptom: two processes hold distinct contents of one revision, and neither knows the other's.
-// Sequence: the platform publishes a second content of a revision; a process that starts takes it,
-// and its peers keep what they hold.
-// Cause: stamps of one revision with distinct digests were taken for nothing to do.
+// Guards against two processes that hold different contents of one revision without knowing the
+// other's. The platform publishes a second content of a revision; a starting process adopts it and
+// its peers keep theirs. This event when stamps with the same revision and different digests are
+// ignored.
 #[test]
-fn another_content_of_the_revision_in_force_is_fetched_and_told() {
+fn a_conflicting_document_is_fetched_and_reported() {
     let mut exchange = Exchange::default();
     let _ = exchange.offer(Now::at(0), &published(2));
-    let rival = Published { revision: 2, ..published(3) };
-    let heard = |exchange: &mut Exchange, at_ms| {
-        exchange.learn_peer_stamp(Now::at(at_ms), FIRST, rival.stamp())
+    let conflicting = Published { revision: 2, ..published(3) };
+    let learn_stamp = |exchange: &mut Exchange, at_ms| {
+        exchange.learn_peer_stamp(Now::at(at_ms), FIRST, conflicting.stamp())
     };
-    let told = |actions: &[ExchangeAction]| {
+    let reports_conflict = |actions: &[ExchangeAction]| {
         actions.iter().any(|action| matches!(action, ExchangeAction::ConflictingDocument(_)))
     };
-    assert_eq!(heard(&mut exchange, 1), asks(FIRST), "it is fetched");
-    assert_eq!(heard(&mut exchange, 2), [], "once");
-    assert_eq!(heard(&mut exchange, 1 + RIVAL_PAUSE_MS), asks(FIRST), "the answer may be lost");
-    let offered = exchange.peer_offer(Now::at(RIVAL_PAUSE_MS + 5), rival.stamp(), &rival.bytes);
-    assert!(told(&offered), "{offered:?}");
-    assert_eq!(exchange.stamp(), published(2).stamp(), "what is in force stays");
-    assert_eq!(heard(&mut exchange, RIVAL_PAUSE_MS + 6), [], "no peer tells more often");
-    assert!(told(&heard(&mut exchange, 3 * RIVAL_PAUSE_MS)), "it is in force there still");
-    let _ = exchange.offer(Now::at(4 * RIVAL_PAUSE_MS), &published(3));
-    assert!(!told(&heard(&mut exchange, 5 * RIVAL_PAUSE_MS)), "a newer revision ends it");
+    assert_eq!(
+        learn_stamp(&mut exchange, 1),
+        requests(FIRST),
+        "the conflicting document is requested"
+    );
+    assert_eq!(learn_stamp(&mut exchange, 2), [], "it is requested only once");
+    assert_eq!(
+        learn_stamp(&mut exchange, 1 + CONFLICT_REPEAT_MS),
+        requests(FIRST),
+        "the request is repeated, as the answer may be lost"
+    );
+    let offered = exchange.peer_offer(
+        Now::at(CONFLICT_REPEAT_MS + 5),
+        conflicting.stamp(),
+        &conflicting.bytes,
+    );
+    assert!(reports_conflict(&offered), "{offered:?}");
+    assert_eq!(exchange.stamp(), published(2).stamp(), "the document in force stays");
+    assert_eq!(
+        learn_stamp(&mut exchange, CONFLICT_REPEAT_MS + 6),
+        [],
+        "it is not reported again at once"
+    );
+    assert!(
+        reports_conflict(&learn_stamp(&mut exchange, 3 * CONFLICT_REPEAT_MS)),
+        "it is still in force at the peer"
+    );
+    let _ = exchange.offer(Now::at(4 * CONFLICT_REPEAT_MS), &published(3));
+    assert!(
+        !reports_conflict(&learn_stamp(&mut exchange, 5 * CONFLICT_REPEAT_MS)),
+        "a newer revision ends the conflict"
+    );
 }
--- a/crates/core/tests/policy_limits.rs
+++ b/crates/core/tests/policy_limits.rs
@@ -1,7 +1,7 @@
-//! Team limits over many entries without shared state, in virtual time.
+//! Tests of team limits over many entries without shared state, in virtual time.
 //!
-//! The rig holds entries' limits and a plain sum of demand for each home agent; a cut drops
-//! messages between an entry and a home.
+//! The simulation holds the limits of several entries and a simple model of each home agent. A
+//! network partition drops the messages between an entry and a home agent.
 
 use googletest::prelude::*;
 use hickorycross_config::{
@@ -18,9 +18,9 @@
 const START_MS: u64 = 1_000_000;
 const STEP_MS: u64 = 20;
 const LIMIT_PER_S: u32 = 200;
-/// Requests that fall on the busiest entry in a few steps.
+/// Burst that the busiest entry receives within a few steps.
 const SMALL_BURST: u32 = 20;
-const HOME_MEMORY_MS: u64 = 10_000;
+const REPORT_TTL_MS: u64 = 10_000;
 
 fn document(teams: usize, servers: usize, requests_per_s: u32) -> Document {
     let team = |index| Team {
@@ -66,102 +66,110 @@
     limits
 }
 
-/// Sum of demand at one home agent.
+/// A home agent, which adds up the demand that entries report.
 #[derive(Debug, Default)]
-struct Home {
-    told: IndexMap<(TeamId, usize), (f32, u64)>,
+struct HomeAgent {
+    reported: IndexMap<(TeamId, usize), (f32, u64)>,
 }
 
-impl Home {
-    fn learn(&mut self, now_ms: u64, entry: usize, demands: &[TeamDemand]) -> Vec<TeamTotal> {
-        self.told.retain(|_, told| told.1 > now_ms);
+impl HomeAgent {
+    fn receive_report(
+        &mut self,
+        now_ms: u64,
+        entry: usize,
+        demands: &[TeamDemand],
+    ) -> Vec<TeamTotal> {
+        self.reported.retain(|_, reported| reported.1 > now_ms);
         for demand in demands {
-            let told = (demand.requests_per_s, now_ms + HOME_MEMORY_MS);
-            self.told.insert((demand.team.clone(), entry), told);
+            let reported = (demand.requests_per_s, now_ms + REPORT_TTL_MS);
+            self.reported.insert((demand.team.clone(), entry), reported);
         }
         demands.iter().map(|demand| self.total(&demand.team)).collect()
     }
 
     fn total(&self, team: &TeamId) -> TeamTotal {
-        let of_team = self.told.iter().filter(|((told, _), _)| told == team);
-        let rates: Vec<f32> = of_team.map(|(_, told)| told.0).collect();
+        let team_reports = self.reported.iter().filter(|((reported, _), _)| reported == team);
+        let rates: Vec<f32> = team_reports.map(|(_, reported)| reported.0).collect();
         let entries = rates.len() as u32;
         TeamTotal { team: team.clone(), requests_per_s: rates.iter().sum(), entries }
     }
 }
 
-/// Requests a second that an entry brings, and whether it reaches a home, at a moment.
-type DemandAt = fn(entry: usize, entries: usize, moment_ms: u64) -> f64;
-type ReachesAt = fn(entry: usize, entries: usize, home: usize, moment_ms: u64) -> bool;
+/// Requests per second that arrive at an entry at a given time.
+type DemandAt = fn(entry: usize, entries: usize, time_ms: u64) -> f64;
+/// Whether an entry can reach a home agent at a given time.
+type ReachesAt = fn(entry: usize, entries: usize, home: usize, time_ms: u64) -> bool;
 
-struct Rig {
+struct Simulation {
     entries: Vec<Box<dyn TeamLimiter>>,
-    homes: IndexMap<BackendServerId, Home>,
-    owed: Vec<f64>,
+    home_agents: IndexMap<BackendServerId, HomeAgent>,
+    pending_requests: Vec<f64>,
     demand: DemandAt,
     reaches: ReachesAt,
 }
 
-impl Rig {
+impl Simulation {
     fn new(entries: usize, demand: DemandAt, reaches: ReachesAt) -> Self {
         let document = document(1, 6, LIMIT_PER_S);
         let limits = |_| Box::new(shared(entries, &document)) as Box<dyn TeamLimiter>;
-        let homes = document.backend_servers.iter().map(|one| (one.id.clone(), Home::default()));
+        let home_agents =
+            document.backend_servers.iter().map(|one| (one.id.clone(), HomeAgent::default()));
         Self {
             entries: (0..entries).map(limits).collect(),
-            homes: homes.collect(),
-            owed: vec![0.0; entries],
+            home_agents: home_agents.collect(),
+            pending_requests: vec![0.0; entries],
             demand,
             reaches,
         }
     }
 
-    /// Makes the bursts of all limits so small that the rates count.
+    /// Reduces the bursts of all limits, so that the rates determine what is admitted.
     fn with_small_burst(&mut self) {
         let mut document = document(1, 6, LIMIT_PER_S);
         document.teams[0].limit.burst_requests = SMALL_BURST;
         self.entries.iter_mut().for_each(|limits| limits.adopt(Now::at(START_MS), &document));
     }
 
-    /// Admitted requests by entry in a stretch, in parts of the whole limit.
+    /// Returns the requests admitted by each entry in a period, as a fraction of the whole limit.
     fn run(&mut self, from_ms: u64, to_ms: u64) -> Vec<f64> {
         let mut admitted = vec![0; self.entries.len()];
-        for moment_ms in (from_ms..to_ms).step_by(STEP_MS as usize) {
+        for time_ms in (from_ms..to_ms).step_by(STEP_MS as usize) {
             for (entry, admitted) in admitted.iter_mut().enumerate() {
-                *admitted += self.step(entry, moment_ms);
+                *admitted += self.step(entry, time_ms);
             }
         }
         let allowed = f64::from(LIMIT_PER_S) * (to_ms - from_ms) as f64 / 1000.0;
         admitted.into_iter().map(|admitted| f64::from(admitted) / allowed).collect()
     }
 
-    fn step(&mut self, entry: usize, moment_ms: u64) -> u32 {
+    fn step(&mut self, entry: usize, time_ms: u64) -> u32 {
         let count = self.entries.len();
-        let now = Now::at(START_MS + moment_ms);
-        self.owed[entry] += (self.demand)(entry, count, moment_ms) * STEP_MS as f64 / 1000.0;
+        let now = Now::at(START_MS + time_ms);
+        self.pending_requests[entry] +=
+            (self.demand)(entry, count, time_ms) * STEP_MS as f64 / 1000.0;
         let mut admitted = 0;
-        while self.owed[entry] >= 1.0 {
-            self.owed[entry] -= 1.0;
+        while self.pending_requests[entry] >= 1.0 {
+            self.pending_requests[entry] -= 1.0;
             let admission = self.entries[entry].admit(now, &team_id(0));
             admitted += u32::from(admission == Admission::Within);
         }
         for report in self.entries[entry].due_reports(now) {
-            self.exchange(now, entry, moment_ms, &report);
+            self.exchange(now, entry, time_ms, &report);
         }
         admitted
     }
 
-    fn exchange(&mut self, now: Now, entry: usize, moment_ms: u64, report: &DemandReport) {
-        let Some((place, _, home)) = self.homes.get_full_mut(&report.to) else { return };
-        if !(self.reaches)(entry, self.owed.len(), place, moment_ms) {
+    fn exchange(&mut self, now: Now, entry: usize, time_ms: u64, report: &DemandReport) {
+        let Some((index, _, home)) = self.home_agents.get_full_mut(&report.to) else { return };
+        if !(self.reaches)(entry, self.pending_requests.len(), index, time_ms) {
             return;
         }
-        let totals = home.learn(now.unix_ms.0, entry, &report.demands);
+        let totals = home.receive_report(now.unix_ms.0, entry, &report.demands);
         self.entries[entry].receive_totals(now, &report.to, &totals);
     }
 }
 
-fn always(_: usize, _: usize, _: usize, _: u64) -> bool {
+fn always_reachable(_: usize, _: usize, _: usize, _: u64) -> bool {
     true
 }
 
@@ -169,27 +177,27 @@
     3.0 * f64::from(LIMIT_PER_S) / entries as f64
 }
 
-/// The first entry sees half of the demand, the others the rest.
-fn lopsided(entry: usize, entries: usize, _: u64) -> f64 {
+/// The first entry receives half of the demand, the others share the rest.
+fn skewed(entry: usize, entries: usize, _: u64) -> f64 {
     let all = 3.0 * f64::from(LIMIT_PER_S);
     if entry == 0 { all / 2.0 } else { all / 2.0 / (entries - 1) as f64 }
 }
 
-/// After 30 s the last entry sees as much demand as the first one, which goes on. Entries begin, and
-/// so report, at different moments.
-fn joining(entry: usize, entries: usize, moment_ms: u64) -> f64 {
-    if moment_ms < 900 * (entries - 1 - entry) as u64 / entries as u64 {
+/// From 30 s on the last entry receives as much demand as the first one. Entries start, and thus
+/// report, at different times.
+fn joining(entry: usize, entries: usize, time_ms: u64) -> f64 {
+    if time_ms < 900 * (entries - 1 - entry) as u64 / entries as u64 {
         return 0.0;
     }
-    let joins = entry == entries - 1 && moment_ms >= 30_000;
+    let joins = entry == entries - 1 && time_ms >= 30_000;
     if entry == 0 || joins { 3.0 * f64::from(LIMIT_PER_S) } else { 1.0 }
 }
 
-/// Demand of 90% of the limit that is even over entries but for chance: in one step out of eight,
-/// drawn anew for each entry, eight times as much.
-fn chancy(entry: usize, entries: usize, moment_ms: u64) -> f64 {
+/// Demand of 90% of the limit, on average even over entries: each entry receives eight times its
+/// mean rate in a random eighth of the steps and nothing in the others.
+fn noisy(entry: usize, entries: usize, time_ms: u64) -> f64 {
     let mixed = (entry as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15)
-        ^ (moment_ms + 1).wrapping_mul(0xD6E8_FEB8_6659_FD93);
+        ^ (time_ms + 1).wrapping_mul(0xD6E8_FEB8_6659_FD93);
     let drawn = (mixed ^ (mixed >> 32)).wrapping_mul(0xD6E8_FEB8_6659_FD93) >> 61;
     let mean = 0.9 * f64::from(LIMIT_PER_S) / entries as f64;
     if drawn == 0 { 8.0 * mean } else { 0.0 }
@@ -198,149 +206,157 @@
 struct SteadyCase {
     name: &'static str,
     demand: DemandAt,
-    least: f64,
+    min_admitted: f64,
 }
 
-// Symptom: a team gets its limit once at every entry.
-// Sequence: its requests are spread over entries that know nothing of each other.
-// Cause: each entry held the whole limit; or shares did not add up to it.
+// Guards against a team that gets its whole limit at every entry, which happens when each entry
+// enforces the whole limit or when the shares add up to more than the limit.
 #[googletest::test]
 fn the_sum_over_entries_keeps_to_the_limit() {
     let cases = [
-        SteadyCase { name: "even", demand: even, least: 0.95 },
-        SteadyCase { name: "lopsided", demand: lopsided, least: 0.90 },
+        SteadyCase { name: "even", demand: even, min_admitted: 0.95 },
+        SteadyCase { name: "skewed", demand: skewed, min_admitted: 0.90 },
     ];
     for entries in [2, 8, 40] {
         for case in &cases {
-            let mut rig = Rig::new(entries, case.demand, always);
-            rig.run(0, 20_000);
+            let mut simulation = Simulation::new(entries, case.demand, always_reachable);
+            simulation.run(0, 20_000);
             for window in 0..8 {
                 let from_ms = 20_000 + window * 5000;
-                let admitted: f64 = rig.run(from_ms, from_ms + 5000).iter().sum();
+                let admitted: f64 = simulation.run(from_ms, from_ms + 5000).iter().sum();
                 expect_that!(admitted, le(1.05), "{} over {entries}", case.name);
-                expect_that!(admitted, ge(case.least), "{} over {entries}", case.name);
+                expect_that!(admitted, ge(case.min_admitted), "{} over {entries}", case.name);
             }
         }
     }
-    let mut rig = Rig::new(8, even, always);
-    rig.entries.iter_mut().for_each(|limits| *limits = Box::new(Unlimited));
-    expect_that!(rig.run(0, 5000).iter().sum::<f64>(), ge(2.9), "the baseline holds nothing");
+    let mut simulation = Simulation::new(8, even, always_reachable);
+    simulation.entries.iter_mut().for_each(|limits| *limits = Box::new(Unlimited));
+    expect_that!(
+        simulation.run(0, 5000).iter().sum::<f64>(),
+        ge(2.9),
+        "the baseline has no limits"
+    );
 }
 
-// Symptom: a team below its limit is refused some of its requests all the time.
-// Sequence: its demand is even over 40 entries; each sees a few requests a second, some more and
-// some fewer than their part for a while.
-// Cause: shares followed measured rates, and those follow chance.
+// Guards against steady refusals for a team below its limit. With even demand over 40 entries, each
+// entry measures a few requests per second, some more and some fewer than their part. Shares that
+// follow the measured rates directly then follow noise.
 #[googletest::test]
-fn chance_does_not_move_shares() {
+fn noise_does_not_move_shares() {
     for entries in [8, 40] {
-        let mut rig = Rig::new(entries, chancy, always);
-        rig.run(0, 20_000);
-        let admitted: f64 = rig.run(20_000, 60_000).iter().sum();
+        let mut simulation = Simulation::new(entries, noisy, always_reachable);
+        simulation.run(0, 20_000);
+        let admitted: f64 = simulation.run(20_000, 60_000).iter().sum();
         let steps = (20_000..60_000).step_by(STEP_MS as usize);
         let demands =
-            steps.flat_map(|at_ms| (0..entries).map(move |one| chancy(one, entries, at_ms)));
+            steps.flat_map(|at_ms| (0..entries).map(move |one| noisy(one, entries, at_ms)));
         let offered = demands.sum::<f64>() / f64::from(LIMIT_PER_S) / (40_000 / STEP_MS) as f64;
         expect_that!(admitted / offered, ge(0.98), "{entries} entries");
     }
 }
 
-// Symptom: while demand spreads to another entry, a team runs over its limit.
-// Sequence: the entry where demand appears takes a large share; the one where it was still uses
-// its own, because it has not asked for totals since.
-// Cause: a larger share applied before the others had given way.
+// Guards against a team that exceeds its limit while its demand spreads to another entry: the entry
+// with new demand applies a larger share at once, while the old one still uses its own because it
+// has not fetched new totals.
 #[googletest::test]
-fn a_larger_share_waits_until_the_others_have_given_way() {
+fn a_larger_share_waits_until_the_others_have_shrunk() {
     for entries in [2, 8] {
-        let mut rig = Rig::new(entries, joining, always);
-        rig.with_small_burst();
-        rig.run(0, 20_000);
-        let before: f64 = rig.run(20_000, 30_000).iter().sum();
-        expect_that!(before, ge(0.9), "the busy entry has nearly all");
+        let mut simulation = Simulation::new(entries, joining, always_reachable);
+        simulation.with_small_burst();
+        simulation.run(0, 20_000);
+        let before: f64 = simulation.run(20_000, 30_000).iter().sum();
+        expect_that!(before, ge(0.9), "the busy entry has nearly the whole limit");
         for second in 30..45 {
-            let admitted: f64 = rig.run(second * 1000, second * 1000 + 1000).iter().sum();
+            let admitted: f64 = simulation.run(second * 1000, second * 1000 + 1000).iter().sum();
             expect_that!(admitted, le(1.05), "{entries} entries, second {second}");
         }
-        let after: f64 = rig.run(45_000, 50_000).iter().sum();
+        let after: f64 = simulation.run(45_000, 50_000).iter().sum();
         expect_that!(after, ge(0.85), "the limit is used again");
         expect_that!(after, le(1.05));
     }
 }
 
-struct CutCase {
+struct PartitionCase {
     name: &'static str,
     entries: usize,
     reaches: ReachesAt,
-    /// Entries that are cut off from every home.
-    cut_off: usize,
+    /// Number of entries that reach no home agent during the partition.
+    partitioned: usize,
 }
 
-const CUT_MS: u64 = 30_000;
+const PARTITION_MS: u64 = 30_000;
 
-fn one_cut_off(entry: usize, _: usize, _: usize, moment_ms: u64) -> bool {
-    moment_ms < CUT_MS || entry != 0
+fn one_partitioned(entry: usize, _: usize, _: usize, time_ms: u64) -> bool {
+    time_ms < PARTITION_MS || entry != 0
 }
 
-fn half_cut_off(entry: usize, entries: usize, _: usize, moment_ms: u64) -> bool {
-    moment_ms < CUT_MS || entry < entries / 2
+fn half_partitioned(entry: usize, entries: usize, _: usize, time_ms: u64) -> bool {
+    time_ms < PARTITION_MS || entry < entries / 2
 }
 
-fn none_reaches(_: usize, _: usize, _: usize, moment_ms: u64) -> bool {
-    moment_ms < CUT_MS
+fn all_partitioned(_: usize, _: usize, _: usize, time_ms: u64) -> bool {
+    time_ms < PARTITION_MS
 }
 
-// Symptom: during a network partition a team gets much more than its limit, or an entry that is
-// cut off lets everything through.
-// Sequence: entries lose their home agents; those that keep theirs see a smaller total and split
-// the whole limit among themselves; the others go on with what they had.
-// Cause: no bound for an entry without totals, and nothing left aside for entries that fell silent.
+// Guards against a team that gets much more than its limit during a network partition. Entries that
+// still reach a home agent receive a smaller total and split the whole limit among themselves,
+// while the others keep their last share. This happens when an entry without totals has no bound,
+// or when nothing is reserved for entries that stopped reporting.
 #[googletest::test]
-fn a_cut_costs_less_than_one_fair_share() {
+fn a_partition_costs_less_than_one_fair_share() {
     let cases = [
-        CutCase { name: "one of 2", entries: 2, reaches: one_cut_off, cut_off: 1 },
-        CutCase { name: "one of 8", entries: 8, reaches: one_cut_off, cut_off: 1 },
-        CutCase { name: "half of 8", entries: 8, reaches: half_cut_off, cut_off: 4 },
-        CutCase { name: "all of 8", entries: 8, reaches: none_reaches, cut_off: 8 },
-        CutCase { name: "half of 40", entries: 40, reaches: half_cut_off, cut_off: 20 },
+        PartitionCase { name: "one of 2", entries: 2, reaches: one_partitioned, partitioned: 1 },
+        PartitionCase { name: "one of 8", entries: 8, reaches: one_partitioned, partitioned: 1 },
+        PartitionCase { name: "half of 8", entries: 8, reaches: half_partitioned, partitioned: 4 },
+        PartitionCase { name: "all of 8", entries: 8, reaches: all_partitioned, partitioned: 8 },
+        PartitionCase {
+            name: "half of 40",
+            entries: 40,
+            reaches: half_partitioned,
+            partitioned: 20,
+        },
     ];
     for case in cases {
-        let mut rig = Rig::new(case.entries, lopsided, case.reaches);
-        rig.run(0, CUT_MS);
+        let mut simulation = Simulation::new(case.entries, skewed, case.reaches);
+        simulation.run(0, PARTITION_MS);
         let fair = 1.0 / case.entries as f64;
         for window in 0..8 {
-            let from_ms = CUT_MS + window * 5000;
-            let admitted: f64 = rig.run(from_ms, from_ms + 5000).iter().sum();
+            let from_ms = PARTITION_MS + window * 5000;
+            let admitted: f64 = simulation.run(from_ms, from_ms + 5000).iter().sum();
             expect_that!(admitted, lt(1.0 + fair), "{} from {from_ms}", case.name);
         }
-        let settled = rig.run(CUT_MS + 40_000, CUT_MS + 45_000);
-        for entry in settled.iter().rev().take(case.cut_off.min(case.entries - 1)) {
+        let settled = simulation.run(PARTITION_MS + 40_000, PARTITION_MS + 45_000);
+        for entry in settled.iter().rev().take(case.partitioned.min(case.entries - 1)) {
             expect_that!(*entry, le(fair * 1.05), "{}", case.name);
             expect_that!(*entry, ge(fair * 0.4), "{}", case.name);
         }
     }
 }
 
-// Symptom: after a start of all entries, each lets the whole limit through.
-// Sequence: the platform's instance list cannot be read; no entry knows that there are others.
-// Cause: an unknown number of entries was taken for one, although totals name them.
+// Guards against entries that each admit the whole limit after a common start. While the platform's
+// instance list cannot be read, an unknown number of entries must not be treated as one, as the
+// totals contain the number.
 #[googletest::test]
-fn without_an_instance_list_the_totals_tell_of_other_entries() {
+fn without_an_instance_list_the_totals_count_the_other_entries() {
     for entries in [2, 8] {
-        let mut rig = Rig::new(entries, even, always);
-        rig.entries.iter_mut().for_each(|limits| limits.set_entry_count(Now::at(START_MS), 0));
-        rig.run(0, 10_000);
-        expect_that!(rig.run(10_000, 20_000).iter().sum::<f64>(), le(1.05));
+        let mut simulation = Simulation::new(entries, even, always_reachable);
+        simulation
+            .entries
+            .iter_mut()
+            .for_each(|limits| limits.set_entry_count(Now::at(START_MS), 0));
+        simulation.run(0, 10_000);
+        expect_that!(simulation.run(10_000, 20_000).iter().sum::<f64>(), le(1.05));
     }
-    let mut rig = Rig::new(8, even, |_, _, _, moment_ms| moment_ms < CUT_MS);
-    rig.entries.iter_mut().for_each(|limits| limits.set_entry_count(Now::at(START_MS), 0));
-    rig.run(0, CUT_MS + 20_000);
-    let admitted: f64 = rig.run(CUT_MS + 20_000, CUT_MS + 25_000).iter().sum();
-    expect_that!(admitted, le(1.05), "also once the totals are gone");
+    let mut simulation = Simulation::new(8, even, |_, _, _, time_ms| time_ms < PARTITION_MS);
+    simulation.entries.iter_mut().for_each(|limits| limits.set_entry_count(Now::at(START_MS), 0));
+    simulation.run(0, PARTITION_MS + 20_000);
+    let admitted: f64 = simulation.run(PARTITION_MS + 20_000, PARTITION_MS + 25_000).iter().sum();
+    expect_that!(admitted, le(1.05), "also once the totals have expired");
 }
 
-// Symptom: a team far below its limit is refused now and then.
-// Sequence: its few requests are spread over many entries; two of them meet at one entry.
-// Cause: each entry's part of the burst was less than two requests.
+// Guards against occasional refusals for a team far below its limit: its few requests are spread
+// over many entries, two of them reach the same entry, and the entry's part of the burst is less
+// than two requests.
 #[googletest::test]
 fn few_requests_over_many_entries_are_not_refused() {
     let document = document(1, 6, 20);
@@ -353,30 +369,30 @@
     }
 }
 
-// Symptom: control traffic of a large fleet eats the network budget of its nodes.
-// Sequence: many teams, each with two home agents among hundreds of backend servers.
-// Cause: a report for each team and home, once a second.
+// Guards against control traffic that exceeds the network budget of an instance in a large fleet:
+// with many teams and hundreds of backend servers, a report per team and home agent every second
+// is too much.
 #[googletest::test]
 fn reports_keep_to_their_budget_and_to_active_teams() {
     let document = document(260, 900, 1000);
     let mut limits = shared(400, &document);
     let active = 200;
     let mut bytes = 0;
-    let mut told: IndexMap<TeamId, u32> = IndexMap::new();
+    let mut reported: IndexMap<TeamId, u32> = IndexMap::new();
     for step in 0..6000_u64 {
         let now = Now::at(START_MS + step * 50);
         limits.admit(now, &team_id(step as usize % active));
         for report in limits.due_reports(now) {
             bytes += report_bytes(&report);
             for demand in &report.demands {
-                *told.entry(demand.team.clone()).or_default() += 1;
+                *reported.entry(demand.team.clone()).or_default() += 1;
             }
         }
     }
     let seconds = 6000 * 50 / 1000;
     expect_that!(bytes, le(REPORT_BYTES_PER_S * (seconds + 1)));
-    expect_that!(told.len(), eq(active), "all active teams in turn and no other");
-    expect_that!(told.values().min().copied(), some(ge(2)));
+    expect_that!(reported.len(), eq(active), "all active teams in turn and no other");
+    expect_that!(reported.values().min().copied(), some(ge(2)));
 }
 
 #[googletest::test]
@@ -388,12 +404,16 @@
     expect_that!(limits.admit(now, &team_id(0)), eq(Admission::Within));
     limits.adopt(now, &document(1, 6, 2));
     let admitted = (0..100).filter(|_| limits.admit(now, &team_id(0)) == Admission::Within);
-    expect_that!(admitted.count(), le(2), "a smaller limit holds at once");
+    expect_that!(admitted.count(), le(2), "a smaller limit applies at once");
     let Admission::Exceeded { retry_at } = limits.admit(now, &team_id(0)) else {
         panic!("the burst is used up");
     };
     let back = Now { unix_ms: retry_at };
-    expect_that!(limits.admit(back, &team_id(0)), eq(Admission::Within), "a truthful moment");
+    expect_that!(
+        limits.admit(back, &team_id(0)),
+        eq(Admission::Within),
+        "the retry time is accurate"
+    );
     limits.adopt(now, &document(0, 6, 2));
     expect_that!(limits.admit(back, &team_id(0)), matches_pattern!(Admission::Exceeded { .. }));
 }
--- a/crates/core/tests/policy_retry.rs
+++ b/crates/core/tests/policy_retry.rs
@@ -1,4 +1,4 @@
-//! Retry budgets under failures that hit everything, in virtual time.
+//! Tests of retry budgets while every request fails, in virtual time.
 
 use googletest::prelude::*;
 use hickorycross_config::{Balance, Document, Route, RouteId, SCHEMA_VERSION, Target};
@@ -41,20 +41,20 @@
     budget
 }
 
-/// Further tries when every try of `first_tries` requests fails.
-fn tries_when_all_fail(budget: &mut dyn RetryBudget, first_tries: u32, every_ms: u64) -> u32 {
+/// Returns the number of retries when every try of `first_tries` requests fails.
+fn retries_when_all_fail(budget: &mut dyn RetryBudget, first_tries: u32, every_ms: u64) -> u32 {
     let route = RouteId::new(ROUTE);
-    let mut further = 0;
+    let mut retries = 0;
     for request in 0..first_tries {
         let now = Now::at(1_000_000 + u64::from(request) * every_ms);
         budget.record_first_try(now, &route);
         let mut tries = 1;
         while budget.decide(now, &route, tries, now.after(60_000)) != RetryDecision::GiveUp {
             tries += 1;
-            further += 1;
+            retries += 1;
         }
     }
-    further
+    retries
 }
 
 struct Case {
@@ -62,56 +62,56 @@
     permille: u16,
     first_tries: u32,
     every_ms: u64,
-    most_further: u32,
-    least_further: u32,
+    max_retries: u32,
+    min_retries: u32,
 }
 
-// Symptom: load at the backend servers doubles or trebles at the moment at which they fail.
-// Sequence: a fault hits every request; each is tried again and again.
-// Cause: tries were bounded for each request and not for all of them together.
+// Guards against retries that double or triple the load on the backend servers while they fail: a
+// fault affects every request, and retries are bounded per request but not for all requests
+// together.
 #[googletest::test]
-fn failures_of_everything_add_a_bounded_share() {
+fn retries_stay_bounded_when_every_request_fails() {
     let cases = [
         Case {
             name: "busy route",
             permille: 50,
             first_tries: 2000,
             every_ms: 20,
-            most_further: 125,
-            least_further: 95,
+            max_retries: 125,
+            min_retries: 95,
         },
         Case {
-            name: "quiet route still has its floor",
+            name: "route with little traffic keeps its floor",
             permille: 50,
             first_tries: 5,
             every_ms: 60_000,
-            most_further: 25,
-            least_further: 5,
+            max_retries: 25,
+            min_retries: 5,
         },
         Case {
             name: "no budget",
             permille: 0,
             first_tries: 500,
             every_ms: 20,
-            most_further: 0,
-            least_further: 0,
+            max_retries: 0,
+            min_retries: 0,
         },
     ];
     for case in cases {
         let mut budget = token_budget(case.permille, 1);
-        let further = tries_when_all_fail(&mut budget, case.first_tries, case.every_ms);
-        expect_that!(further, le(case.most_further), "{}", case.name);
-        expect_that!(further, ge(case.least_further), "{}", case.name);
+        let retries = retries_when_all_fail(&mut budget, case.first_tries, case.every_ms);
+        expect_that!(retries, le(case.max_retries), "{}", case.name);
+        expect_that!(retries, ge(case.min_retries), "{}", case.name);
     }
-    let baseline = tries_when_all_fail(&mut FixedBudget::default(), 2000, 20);
-    expect_that!(baseline, eq(4000), "the baseline trebles the load");
+    let baseline = retries_when_all_fail(&mut FixedBudget::default(), 2000, 20);
+    expect_that!(baseline, eq(4000), "the baseline triples the load");
 }
 
-// Symptom: a request is answered as failed only after its deadline, and its work is wasted.
-// Sequence: an attempt fails shortly before the deadline; another one is begun after it.
-// Cause: the pause before the next try was not held against the deadline.
+// Guards against a retry after the deadline, which delays the failure response and wastes work: an
+// attempt fails shortly before the deadline, and the pause before the retry is not compared with
+// the deadline.
 #[googletest::test]
-fn no_try_begins_at_or_after_the_deadline() {
+fn no_retry_starts_at_or_after_the_deadline() {
     let route = RouteId::new(ROUTE);
     for left_ms in 0..200 {
         let mut budget = token_budget(100, left_ms);
@@ -123,10 +123,8 @@
     }
 }
 
-// Symptom: entries send their further tries at the same moment, and the queue that refused them
-// refuses them again.
-// Sequence: one backend server fails; all entries see it together.
-// Cause: pauses without jitter.
+// Guards against synchronized retries: one backend server fails, all entries detect it together,
+// and pauses without jitter make them retry at the same time into the same full queue.
 #[googletest::test]
 fn pauses_differ_between_entries_and_grow() {
     let route = RouteId::new(ROUTE);
@@ -147,15 +145,15 @@
     first.sort_unstable();
     first.dedup();
     expect_that!(first.len(), ge(5));
-    expect_that!(pause_ms(1, 4), eq(u64::MAX), "four tries are the most");
+    expect_that!(pause_ms(1, 4), eq(u64::MAX), "no more than four tries");
 }
 
 #[googletest::test]
-fn a_new_document_keeps_what_was_earned_and_unknown_routes_get_nothing() {
+fn a_new_document_keeps_tokens_and_unknown_routes_have_none() {
     let mut budget = token_budget(50, 1);
-    let used = tries_when_all_fail(&mut budget, 1, 0);
+    let used = retries_when_all_fail(&mut budget, 1, 0);
     budget.adopt(&document(50));
-    expect_that!(tries_when_all_fail(&mut budget, 1, 0), le(5 - used));
+    expect_that!(retries_when_all_fail(&mut budget, 1, 0), le(5 - used));
     let unknown = RouteId::new("unknown");
     let decision = budget.decide(Now::at(1), &unknown, 1, UnixMs::NEVER);
     expect_that!(decision, eq(RetryDecision::GiveUp));
--- a/crates/core/tests/policy_routing.rs
+++ b/crates/core/tests/policy_routing.rs
@@ -1,4 +1,4 @@
-//! Choice of a backend server, in virtual time: what the policy must do with what it knows.
+//! Tests of the routing policy for given load reports and measurements, in virtual time.
 
 use googletest::prelude::*;
 use hickorycross_config::{BackendServerId, FailureDomainId};
@@ -78,7 +78,7 @@
     running.iter().enumerate().map(|(index, running)| Server::new(index, *running)).collect()
 }
 
-/// A request that any home but those of the servers sends.
+/// The properties of a request to route.
 #[derive(Clone, Copy, Debug)]
 struct TestRequest {
     rank: u8,
@@ -107,8 +107,8 @@
     policy.choose(now, &routing_request)
 }
 
-/// Picks of each server in thousandths of all draws.
-fn picks_permille(
+/// Returns how often each server is chosen, in thousandths of all draws.
+fn decisions_permille(
     policy: &mut dyn RoutingPolicy,
     servers: &[Server],
     request: TestRequest,
@@ -122,7 +122,7 @@
     picks.into_iter().map(|count| count * 1000 / DRAWS).collect()
 }
 
-fn learned(seed: u64, first_chunk_ms: &[u64], servers: &[Server]) -> TwoChoices {
+fn policy_after_samples(seed: u64, first_chunk_ms: &[u64], servers: &[Server]) -> TwoChoices {
     let mut policy = TwoChoices::new(seed);
     for _ in 0..20 {
         for (server, first_chunk_ms) in servers.iter().zip(first_chunk_ms) {
@@ -136,12 +136,12 @@
     name: &'static str,
     servers: Vec<Server>,
     request: TestRequest,
-    /// Index of a server with the lowest and the highest thousandths of picks that it may get.
+    /// Index of a server, with the lowest and highest permitted share of requests in thousandths.
     bounds: Vec<(usize, usize, usize)>,
 }
 
 #[googletest::test]
-fn picks_follow_load_place_and_share() {
+fn requests_follow_load_failure_domain_and_share() {
     let near = TestRequest { entry_failure_domain: "domain-0", ..DEFAULT_REQUEST };
     let cases = vec![
         PickCase {
@@ -157,19 +157,19 @@
             bounds: vec![(0, 0, 0)],
         },
         PickCase {
-            name: "near servers first",
+            name: "servers in the entry's failure domain first",
             servers: servers(&[3, 0, 3, 0]),
             request: near,
             bounds: vec![(1, 0, 0), (3, 0, 0)],
         },
         PickCase {
-            name: "far servers once the near ones are full",
+            name: "other failure domains once that one is full",
             servers: servers(&[8, 0, 8, 0]),
             request: near,
             bounds: vec![(0, 0, 0), (2, 0, 0)],
         },
         PickCase {
-            name: "a ramp of 10% is at most 10% of an even part",
+            name: "a share of 10% yields at most 10% of an even part",
             servers: vec![
                 Server::new(0, 0).share(100),
                 Server::new(1, 4),
@@ -181,14 +181,14 @@
             bounds: vec![(0, 1, 60)],
         },
         PickCase {
-            name: "ramps of all are not an outage",
+            name: "reduced shares of all servers are not an outage",
             servers: vec![Server::new(0, 0).share(100), Server::new(1, 0).share(300)],
             request: DEFAULT_REQUEST,
             bounds: vec![(0, 150, 450), (1, 550, 850)],
         },
     ];
     for case in cases {
-        let picks = picks_permille(&mut TwoChoices::new(7), &case.servers, case.request);
+        let picks = decisions_permille(&mut TwoChoices::new(7), &case.servers, case.request);
         for (index, lowest, highest) in case.bounds {
             expect_that!(picks[index], ge(lowest), "{} {index}", case.name);
             expect_that!(picks[index], le(highest), "{} {index}", case.name);
@@ -196,35 +196,33 @@
     }
 }
 
-// Symptom: a backend server that fails every attempt draws all of them, and most requests fail.
-// Sequence: it fails within a millisecond, so it is always the one with the least load.
-// Cause: load alone was weighed, and failures nowhere.
+// Guards against a backend server that fails every attempt and attracts nearly all requests: as it
+// fails within a millisecond it always has the least load, so load alone must not decide.
 #[googletest::test]
-fn a_server_that_fails_fast_attracts_nothing() {
+fn a_server_that_fails_fast_attracts_no_requests() {
     let servers = servers(&[0, 4, 4, 4]);
-    let mut policy = learned(3, &[80, 80, 80, 80], &servers);
-    let before = picks_permille(&mut policy, &servers, DEFAULT_REQUEST);
-    expect_that!(before[0], ge(900), "idle and sound, it is the best");
+    let mut policy = policy_after_samples(3, &[80, 80, 80, 80], &servers);
+    let before = decisions_permille(&mut policy, &servers, DEFAULT_REQUEST);
+    expect_that!(before[0], ge(900), "an idle and healthy server is the best");
     for _ in 0..8 {
         policy.record_failure(START, &servers[0].id);
     }
-    let after = picks_permille(&mut policy, &servers, DEFAULT_REQUEST);
+    let after = decisions_permille(&mut policy, &servers, DEFAULT_REQUEST);
     expect_that!(after[0], le(10));
-    let baseline = picks_permille(&mut LeastOutstanding::default(), &servers, DEFAULT_REQUEST);
-    expect_that!(baseline[0], ge(200), "the baseline goes on sending");
+    let baseline = decisions_permille(&mut LeastOutstanding::default(), &servers, DEFAULT_REQUEST);
+    expect_that!(baseline[0], ge(200), "the baseline continues to use it");
 }
 
-// Symptom: first chunks from one backend server take ten times as long, and it gets as many
-// requests as the others; once mended, it is never tried again.
-// Sequence: the server slows down; its reports look like those of the others. Later it recovers.
-// Cause: measured times were not weighed, or never forgotten.
+// Guards against a slow backend server that gets as many requests as the others, because its load
+// reports look the same and measured latency is ignored. Also guards against never using it again
+// after it recovers, because old measurements do not decay.
 #[googletest::test]
-fn a_straggler_gets_less_and_is_tried_again_later() {
+fn a_slow_server_gets_less_and_is_tried_again_later() {
     let servers = servers(&[2, 2, 2, 2]);
-    let mut policy = learned(3, &[800, 80, 80, 80], &servers);
-    expect_that!(picks_permille(&mut policy, &servers, DEFAULT_REQUEST)[0], le(10));
-    let baseline = picks_permille(&mut RoundRobin::default(), &servers, DEFAULT_REQUEST);
-    expect_that!(baseline[0], eq(250), "the baseline sends it an even part");
+    let mut policy = policy_after_samples(3, &[800, 80, 80, 80], &servers);
+    expect_that!(decisions_permille(&mut policy, &servers, DEFAULT_REQUEST)[0], le(10));
+    let baseline = decisions_permille(&mut RoundRobin::default(), &servers, DEFAULT_REQUEST);
+    expect_that!(baseline[0], eq(250), "the baseline sends it an even share");
     let later = Now::at(START.unix_ms.0 + 12_000);
     let picked = (0..400)
         .filter(|_| {
@@ -234,12 +232,11 @@
     expect_that!(picked, ge(40));
 }
 
-// Symptom: queues swing from empty to full and back, although each entry picks the shortest one.
-// Sequence: reports are a second old; in one of them a server looks empty, and every entry sends
-// it everything until its next report.
-// Cause: all entries follow the same old picture to the same place.
+// Guards against queues that oscillate between empty and full although each entry chooses the
+// shortest one. Reports are a second old, one server seems empty, and all entries send it every
+// request until its next report.
 #[googletest::test]
-fn old_reports_do_not_draw_all_entries_to_one_server() {
+fn old_reports_do_not_send_all_entries_to_one_server() {
     let old = UnixMs(START.unix_ms.0 - 900);
     let mut stale = servers(&[0, 6, 6, 6, 6, 6, 6, 6]);
     for server in &mut stale {
@@ -252,10 +249,10 @@
     };
     expect_that!(drawn(&stale), le(140));
     let fresh = servers(&[0, 6, 6, 6, 6, 6, 6, 6]);
-    expect_that!(drawn(&fresh), eq(400), "a fresh picture is worth following");
+    expect_that!(drawn(&fresh), eq(400), "fresh reports are followed");
 }
 
-/// Whether a request is sent at once.
+/// Whether a request is sent rather than refused.
 fn is_sent(pick: RoutingDecision) -> bool {
     matches!(pick, RoutingDecision::Candidate(_))
 }
@@ -264,25 +261,24 @@
     name: &'static str,
     /// Waiting requests of ranks 0 and 2 at every server.
     waiting: (u32, u32),
-    /// Requests of ranks 0 and 2 that have begun lately.
-    begun: (u32, u32),
+    /// Requests of ranks 0 and 2 that have started recently.
+    started: (u32, u32),
     rank: u8,
     slack_ms: u64,
     sent: bool,
 }
 
-// Symptom: low tiers wait for the whole of their deadline and expire, or the first tier is refused
-// because of low-tier work that it would overtake.
-// Sequence: offered work exceeds capacity; the queue is long; higher tiers keep coming.
-// Cause: the wait was projected from the length of the queue, whatever tiers were in it and
-// whatever higher tiers would take of the starts.
+// Guards against low tiers that wait until their deadline and expire, and against refusals of the
+// first tier because of low-tier requests that it would overtake. Under overload both happen when
+// the wait is projected from the length of the queue alone, without the tiers in it and without the
+// starts that higher tiers will take.
 #[googletest::test]
 fn admission_follows_the_tier() {
     let cases = [
         AdmissionCase {
             name: "an empty queue takes any tier",
             waiting: (0, 0),
-            begun: (50, 50),
+            started: (50, 50),
             rank: 2,
             slack_ms: 500,
             sent: true,
@@ -290,31 +286,31 @@
         AdmissionCase {
             name: "the first tier overtakes a long queue of the third",
             waiting: (0, 60),
-            begun: (50, 50),
+            started: (50, 50),
             rank: 0,
             slack_ms: 1000,
             sent: true,
         },
         AdmissionCase {
-            name: "the third tier waits behind it",
+            name: "the third tier waits behind the long queue",
             waiting: (0, 60),
-            begun: (50, 50),
+            started: (50, 50),
             rank: 2,
             slack_ms: 2000,
             sent: false,
         },
         AdmissionCase {
-            name: "little ahead, and most starts are its own",
+            name: "short queue, and most starts are of the own tier",
             waiting: (0, 10),
-            begun: (10, 90),
+            started: (10, 90),
             rank: 2,
             slack_ms: 2000,
             sent: true,
         },
         AdmissionCase {
-            name: "little ahead, but higher tiers take nearly all starts",
+            name: "short queue, but higher tiers take nearly all starts",
             waiting: (0, 10),
-            begun: (90, 10),
+            started: (90, 10),
             rank: 2,
             slack_ms: 2000,
             sent: false,
@@ -322,7 +318,7 @@
         AdmissionCase {
             name: "a long queue of the own tier",
             waiting: (40, 0),
-            begun: (100, 0),
+            started: (100, 0),
             rank: 0,
             slack_ms: 1000,
             sent: false,
@@ -330,7 +326,7 @@
     ];
     for case in cases {
         let mut policy = TwoChoices::new(5);
-        for (rank, count) in [(0, case.begun.0), (2, case.begun.1)] {
+        for (rank, count) in [(0, case.started.0), (2, case.started.1)] {
             (0..count).for_each(|_| policy.record_start(START, rank));
         }
         let server =
@@ -343,11 +339,10 @@
     }
 }
 
-// Symptom: a caller comes back when told to and is refused again.
-// Sequence: the queue is too long; the refusal names a moment; by then the queue has been served.
-// Cause: the moment was a constant and not what the queue needs.
+// Guards against a second refusal for a caller that retries at the time named in the first one. The
+// time must follow from how long the queue takes to drain, rather than being a constant.
 #[googletest::test]
-fn coming_back_when_told_finds_room() {
+fn a_retry_at_the_named_time_is_accepted() {
     for waiting in [40, 60, 90, 200] {
         let full = vec![Server::new(0, SLOTS).waiting(0, waiting)];
         let mut policy = TwoChoices::new(1);
@@ -367,10 +362,9 @@
     }
 }
 
-// Symptom: under strain the third tier gets nothing, although the document keeps a part of the
-// starts for it.
-// Sequence: higher tiers fill the queues; entries project an endless wait and refuse.
-// Cause: the projection did not know the floor.
+// Guards against a third tier that gets nothing under overload although the document reserves a
+// floor for it: higher tiers fill the queues, and a projection without the floor yields an endless
+// wait, so that entries refuse the tier.
 #[googletest::test]
 fn the_floor_of_a_tier_is_not_refused() {
     let request = TestRequest { rank: 2, slack_ms: 10_000, ..DEFAULT_REQUEST };
@@ -384,11 +378,10 @@
     }
 }
 
-// Symptom: accepted work expires in queues again and again.
-// Sequence: the queue serves a tier more slowly than projected, for whatever reason.
-// Cause: nothing was learnt from expired work.
+// Guards against accepted requests that keep expiring in queues. When a queue serves a tier more
+// slowly than projected, for whatever reason, expired requests must lower admission.
 #[googletest::test]
-fn expired_work_makes_admission_careful() {
+fn expired_requests_lower_admission() {
     let servers: Vec<Server> =
         (0..4).map(|index| Server::new(index, SLOTS).waiting(1, 16)).collect();
     let request = TestRequest { rank: 1, slack_ms: 2000, ..DEFAULT_REQUEST };
@@ -397,34 +390,41 @@
     (0..8).for_each(|_| policy.record_expiry(START, 1));
     expect_false!(is_sent(choose(&mut policy, START, &servers, request)));
     let first = TestRequest { rank: 0, ..request };
-    expect_true!(is_sent(choose(&mut policy, START, &servers, first)), "other tiers do not pay");
+    expect_true!(
+        is_sent(choose(&mut policy, START, &servers, first)),
+        "other tiers are not affected"
+    );
     (0..2000).for_each(|_| policy.record_start(START, 1));
     expect_true!(is_sent(choose(&mut policy, START, &servers, request)));
 }
 
 #[googletest::test]
-fn a_prefix_goes_where_all_entries_send_it_while_there_is_room() {
+fn all_entries_route_a_prefix_to_one_server_while_it_has_room() {
     let mut servers = servers(&[2, 2, 2, 2, 2]);
     for prefix in 0..50 {
         let request = TestRequest { prefix: Some(prefix), ..DEFAULT_REQUEST };
         let pick = |seed: u64, servers: &[Server]| {
             choose(&mut TwoChoices::new(seed), START, servers, request)
         };
-        let holder = pick(0, &servers);
-        let all_agree = (1..10).all(|seed| pick(seed, &servers) == holder);
+        let preferred = pick(0, &servers);
+        let all_agree = (1..10).all(|seed| pick(seed, &servers) == preferred);
         expect_true!(all_agree, "prefix {prefix}");
-        let RoutingDecision::Candidate(index) = holder else { continue };
+        let RoutingDecision::Candidate(index) = preferred else { continue };
         servers[index].load.running = SLOTS;
-        expect_that!(pick(0, &servers), not(eq(holder)), "a full holder is left alone");
+        expect_that!(
+            pick(0, &servers),
+            not(eq(preferred)),
+            "a full server is not chosen for its prefix cache"
+        );
         servers[index].load.running = 2;
     }
 }
 
 #[googletest::test]
-fn the_same_seed_gives_the_same_picks() {
+fn the_same_seed_gives_the_same_decisions() {
     let servers = servers(&[3, 2, 3, 2, 4]);
     let picks = |seed| {
-        let mut policy = learned(seed, &[80, 90, 70, 60, 80], &servers);
+        let mut policy = policy_after_samples(seed, &[80, 90, 70, 60, 80], &servers);
         (0..200).map(|_| choose(&mut policy, START, &servers, DEFAULT_REQUEST)).collect::<Vec<_>>()
     };
     expect_that!(picks(1), eq(&picks(1)));
