--- a/crates/core/tests/adoption_failures.rs
+++ b/crates/core/tests/adoption_failures.rs
@@ -115,7 +115,7 @@
 
 // Guards against two processes that hold different contents of one revision without knowing the
 // other's. The platform publishes a second content of a revision; a starting process adopts it and
-// its peers keep theirs. This event when stamps with the same revision and different digests are
+// its peers keep theirs. This happens when stamps with the same revision and different digests are
 // ignored.
 #[test]
 fn a_conflicting_document_is_fetched_and_reported() {
