--- a/crates/core/src/health/mod.rs
+++ b/crates/core/src/health/mod.rs
@@ -1,16 +1,17 @@
-//! Graded suspicion of backend servers: reduced share, open circuit, probing, staged ramp.
+//! Health policies: how much traffic an entry may send to a backend server.
 //!
-//! [`Graded`] is the policy in use.
+//! [`CircuitBreaker`] is the production policy. It first reduces the share of traffic, then opens
+//! the circuit, sends probes and restores the share in stages. The others are baselines.
 
 mod always_up;
-mod as_told;
+mod attempt_counts;
 mod backoff;
-mod border;
-mod counts;
-mod graded;
+mod circuit_breaker;
+mod policy;
 mod ramp;
+mod reported_health;
 
 pub use always_up::AlwaysUp;
-pub use as_told::AsTold;
-pub use border::{HealthOf, Signal, Standing};
-pub use graded::Graded;
+pub use circuit_breaker::CircuitBreaker;
+pub use policy::{HealthPolicy, Signal, Standing};
+pub use reported_health::ReportedHealth;
--- a/crates/core/src/retry/mod.rs
+++ b/crates/core/src/retry/mod.rs
@@ -1,11 +1,12 @@
-//! Retry budgets: further tries are a bounded share of first tries.
+//! Retry policies: whether and when an entry sends a failed request again.
 //!
-//! [`TokenBudget`] is the policy in use.
+//! [`TokenBudget`] is the production policy; it bounds retries to a fraction of first tries.
+//! [`FixedBudget`] is a baseline.
 
-mod border;
 mod fixed_budget;
+mod policy;
 mod token_budget;
 
-pub use border::{BudgetRetries, RetryDecision};
 pub use fixed_budget::FixedBudget;
+pub use policy::{RetryBudget, RetryDecision};
 pub use token_budget::TokenBudget;
--- a/crates/core/src/routing/round_robin.rs
+++ b/crates/core/src/routing/round_robin.rs
@@ -1,21 +1,27 @@
-//! Baseline: each candidate in turn.
+//! Baseline policy: each candidate in turn.
 
-use super::border::{Choice, ChooseBackend, Pick};
+use super::policy::{RoutingDecision, RoutingPolicy, RoutingRequest};
 use crate::time::Now;
 use hickorycross_config::BackendServerId;
 
-/// Gives each candidate its turn and looks at nothing else.
+/// Chooses the candidates in turn, whatever their load.
 #[derive(Clone, Debug, Default)]
 pub struct RoundRobin {
     turn: usize,
 }
 
-impl ChooseBackend for RoundRobin {
-    fn choose(&mut self, _now: Now, choice: &Choice<'_>) -> Pick {
-        let index = self.turn % choice.candidates.len();
+impl RoutingPolicy for RoundRobin {
+    fn choose(&mut self, _now: Now, request: &RoutingRequest<'_>) -> RoutingDecision {
+        let index = self.turn % request.candidates.len();
         self.turn = self.turn.wrapping_add(1);
-        Pick::Candidate(index)
+        RoutingDecision::Candidate(index)
     }
 
-    fn observe(&mut self, _now: Now, _backend_server: &BackendServerId, _first_chunk_ms: u64) {}
+    fn record_first_chunk(
+        &mut self,
+        _now: Now,
+        _backend_server: &BackendServerId,
+        _first_chunk_ms: u64,
+    ) {
+    }
 }
