--- a/crates/core/src/direct/outcome.rs
+++ b/crates/core/src/direct/attempt_end.rs
@@ -14,11 +14,11 @@
     /// The connection broke after bytes had left.
     Broken,
     /// No answer came in time.
-    Silent,
+    TimedOut,
     /// What came was not an answer to this request.
-    Spoiled,
+    InvalidAnswer,
     /// The entry left it, because it is slow and holds its whole group up.
-    Left,
+    Abandoned,
 }
 
 impl AttemptEnd {
@@ -30,9 +30,9 @@
             Self::Rejected => "rejected",
             Self::OtherIncarnation => "other-incarnation",
             Self::Broken => "broken",
-            Self::Silent => "silent",
-            Self::Spoiled => "spoiled",
-            Self::Left => "left",
+            Self::TimedOut => "silent",
+            Self::InvalidAnswer => "spoiled",
+            Self::Abandoned => "left",
         }
     }
 }
@@ -57,8 +57,8 @@
         AttemptEnd::Rejected | AttemptEnd::OtherIncarnation => {
             Judgement { verdict: Verdict::NotRun, blames_backend: false }
         }
-        AttemptEnd::Left => Judgement { verdict: Verdict::MayHaveRun, blames_backend: false },
-        AttemptEnd::Broken | AttemptEnd::Silent | AttemptEnd::Spoiled => {
+        AttemptEnd::Abandoned => Judgement { verdict: Verdict::MayHaveRun, blames_backend: false },
+        AttemptEnd::Broken | AttemptEnd::TimedOut | AttemptEnd::InvalidAnswer => {
             Judgement { verdict: Verdict::MayHaveRun, blames_backend: true }
         }
     }
--- a/crates/core/src/direct/named_limits.rs
+++ b/crates/core/src/direct/backend_limits.rs
@@ -16,7 +16,7 @@
 
 /// What a backend server said of the requests that it takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitWord {
+pub struct LimitReport {
     /// The backend server.
     pub incarnation: IncarnationDigest,
     /// Thousandths of a request a second, from all entries together; nothing when it named no limit.
@@ -27,7 +27,7 @@
 
 /// The newest word of each backend server that has named a limit.
 #[derive(Clone, Debug, Default)]
-pub struct NamedLimits {
+pub struct BackendLimits {
     words: IndexMap<IncarnationDigest, Said>,
 }
 
@@ -37,12 +37,12 @@
     at: BootMs,
 }
 
-impl NamedLimits {
+impl BackendLimits {
     /// Takes note of a word. Returns whether it changes what is believed so much that others are to be told.
     ///
     /// That one takes whatever comes says nothing new unless it had named a limit.
-    pub fn note(&mut self, word: LimitWord, now: BootMs) -> bool {
-        let LimitWord { incarnation, millirequests_per_s, age_ms } = word;
+    pub fn note(&mut self, word: LimitReport, now: BootMs) -> bool {
+        let LimitReport { incarnation, millirequests_per_s, age_ms } = word;
         let said = Said { millirequests_per_s, at: now.before(age_ms) };
         match self.words.get_mut(&incarnation) {
             Some(known) if known.at > said.at => false,
@@ -71,7 +71,7 @@
 
     /// The newest word of a backend server that has named a limit at some time.
     #[must_use]
-    pub fn word(&self, incarnation: IncarnationDigest, now: BootMs) -> Option<LimitWord> {
+    pub fn word(&self, incarnation: IncarnationDigest, now: BootMs) -> Option<LimitReport> {
         self.words.get(&incarnation).map(|said| said.word(incarnation, now))
     }
 
@@ -83,7 +83,7 @@
 
     /// Everything that is known, for an entry that may lack some of it.
     #[must_use]
-    pub fn words(&self, now: BootMs) -> Vec<LimitWord> {
+    pub fn words(&self, now: BootMs) -> Vec<LimitReport> {
         self.words.iter().map(|(incarnation, said)| said.word(*incarnation, now)).collect()
     }
 
@@ -111,9 +111,9 @@
 }
 
 impl Said {
-    const fn word(self, incarnation: IncarnationDigest, now: BootMs) -> LimitWord {
+    const fn word(self, incarnation: IncarnationDigest, now: BootMs) -> LimitReport {
         let Self { millirequests_per_s, at } = self;
-        LimitWord { incarnation, millirequests_per_s, age_ms: now.since(at) }
+        LimitReport { incarnation, millirequests_per_s, age_ms: now.since(at) }
     }
 }
 
--- a/crates/core/src/direct/backend_table.rs
+++ b/crates/core/src/direct/backend_table.rs
@@ -1,7 +1,7 @@
 //! The backend servers that this entry reaches, and what it has seen of them.
 
 use super::BootMs;
-use super::quiet::Streams;
+use super::quiet_ranks::Streams;
 use indexmap::{IndexMap, IndexSet};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
--- a/crates/core/src/direct/belief.rs
+++ b/crates/core/src/direct/catalog_state.rs
@@ -17,7 +17,7 @@
 /// last part of it, so only a watch that is shorter than that may be wrong about its beginning. Too short a
 /// bound refuses callers with good keys whenever the store is away.
 #[must_use]
-pub const fn key_bound_ms(revoke_ms: u64, watch_ms: u64) -> u64 {
+pub const fn max_catalog_age_for_keys_ms(revoke_ms: u64, watch_ms: u64) -> u64 {
     let deaf_ms = DEAF_WATCH_MS.saturating_sub(watch_ms);
     revoke_ms.saturating_sub(deaf_ms + KEY_USE_SLACK_MS)
 }
@@ -36,12 +36,12 @@
 
 /// The catalog in force, and until when it was certainly the newest.
 #[derive(Clone, Debug, Default)]
-pub struct CatalogBelief {
+pub struct CatalogState {
     catalog: Option<Arc<Catalog>>,
     confirmed_at: Option<BootMs>,
 }
 
-impl CatalogBelief {
+impl CatalogState {
     /// The catalog in force.
     #[must_use]
     pub fn catalog(&self) -> Option<&Arc<Catalog>> {
--- a/crates/core/src/direct/crash_table.rs
+++ b/crates/core/src/direct/crash_table.rs
@@ -59,7 +59,7 @@
 
 /// What was seen of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Seen {
+pub enum RequestObservation {
     /// A backend server ended while it had the request.
     BackendEnded {
         /// The one that ended.
@@ -73,11 +73,11 @@
 
 /// What one entry tells others of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RequestWord {
+pub struct RequestReport {
     /// The request.
     pub digest: RequestDigest,
     /// What was seen of it.
-    pub seen: Seen,
+    pub seen: RequestObservation,
     /// How long ago, in milliseconds.
     pub age_ms: u64,
 }
@@ -85,7 +85,7 @@
 /// What came of a word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
-pub enum WordOutcome {
+pub enum ReportOutcome {
     /// It says something new.
     New,
     /// It was known, or is too old to matter.
@@ -119,16 +119,18 @@
 
 impl CrashTable {
     /// Takes note of what this entry has seen, or another one says, of a request.
-    pub fn note(&mut self, word: RequestWord, now: BootMs) -> WordOutcome {
-        let RequestWord { digest, seen, age_ms } = word;
+    pub fn note(&mut self, word: RequestReport, now: BootMs) -> ReportOutcome {
+        let RequestReport { digest, seen, age_ms } = word;
         if age_ms >= KEPT_MS {
-            return WordOutcome::Known;
+            return ReportOutcome::Known;
         }
         let at = now.before(age_ms);
         match seen {
-            Seen::Answered => self.note_answered_elsewhere(digest, at),
-            Seen::BackendEnded { .. } if self.answers.contains(digest) => WordOutcome::Contradicted,
-            Seen::BackendEnded { incarnation, had_begun } => {
+            RequestObservation::Answered => self.note_answered_elsewhere(digest, at),
+            RequestObservation::BackendEnded { .. } if self.answers.contains(digest) => {
+                ReportOutcome::Contradicted
+            }
+            RequestObservation::BackendEnded { incarnation, had_begun } => {
                 self.note_end(digest, incarnation, End { at, had_begun, is_certain: true })
             }
         }
@@ -139,18 +141,18 @@
         digest: RequestDigest,
         incarnation: IncarnationDigest,
         end: End,
-    ) -> WordOutcome {
+    ) -> ReportOutcome {
         self.make_room(digest);
         let record = self.records.entry(digest).or_default();
         if record.answered_at.is_some_and(|answered_at| answered_at >= end.at) {
-            return WordOutcome::Known;
+            return ReportOutcome::Known;
         }
         record.heard_at = record.heard_at.max(end.at);
         match record.ended.get_mut(&incarnation) {
             Some(known) => known.join(end),
             None => {
                 record.ended.insert(incarnation, end);
-                WordOutcome::New
+                ReportOutcome::New
             }
         }
     }
@@ -168,15 +170,15 @@
     ) -> bool {
         let end = End { at: now, had_begun, is_certain: false };
         !self.answers.contains(digest)
-            && self.note_end(digest, incarnation, end) == WordOutcome::New
+            && self.note_end(digest, incarnation, end) == ReportOutcome::New
     }
 
-    fn note_answered_elsewhere(&mut self, digest: RequestDigest, at: BootMs) -> WordOutcome {
-        let Some(record) = self.records.get_mut(&digest) else { return WordOutcome::Known };
+    fn note_answered_elsewhere(&mut self, digest: RequestDigest, at: BootMs) -> ReportOutcome {
+        let Some(record) = self.records.get_mut(&digest) else { return ReportOutcome::Known };
         let ended = record.ended.len();
         record.ended.retain(|_, end| end.at > at);
         record.answered_at = record.answered_at.max(Some(at));
-        if record.ended.len() < ended { WordOutcome::New } else { WordOutcome::Known }
+        if record.ended.len() < ended { ReportOutcome::New } else { ReportOutcome::Known }
     }
 
     /// Notes that a backend server answered a request. Returns whether others are to be told, because one
@@ -184,7 +186,7 @@
     #[must_use]
     pub fn note_answered(&mut self, digest: RequestDigest, now: BootMs) -> bool {
         self.answers.add(digest, now);
-        self.note_answered_elsewhere(digest, now) == WordOutcome::New
+        self.note_answered_elsewhere(digest, now) == ReportOutcome::New
     }
 
     /// Takes back that a backend server may have ended under a request, unless that is certain by now.
@@ -223,7 +225,7 @@
 
     /// Everything that is known, for an entry that may lack some of it.
     #[must_use]
-    pub fn words(&self, now: BootMs) -> Vec<RequestWord> {
+    pub fn words(&self, now: BootMs) -> Vec<RequestReport> {
         self.records.iter().flat_map(|(digest, record)| record.words(*digest, now)).collect()
     }
 
@@ -267,7 +269,7 @@
     /// Takes over what a further word says of the same end.
     ///
     /// Two requests of one content may have been there, of which one had begun.
-    fn join(&mut self, other: Self) -> WordOutcome {
+    fn join(&mut self, other: Self) -> ReportOutcome {
         let joined = Self {
             had_begun: self.had_begun || other.had_begun,
             is_certain: self.is_certain || other.is_certain,
@@ -275,7 +277,7 @@
         };
         let is_known = (joined.had_begun, joined.is_certain) == (self.had_begun, self.is_certain);
         *self = joined;
-        if is_known { WordOutcome::Known } else { WordOutcome::New }
+        if is_known { ReportOutcome::Known } else { ReportOutcome::New }
     }
 }
 
@@ -289,15 +291,18 @@
         self.ended.values().map(weight).sum::<u32>() >= MOST_ENDED * BEGUN_WEIGHT
     }
 
-    fn words(&self, digest: RequestDigest, now: BootMs) -> impl Iterator<Item = RequestWord> {
-        let ends = self.certain().map(move |(incarnation, end)| RequestWord {
+    fn words(&self, digest: RequestDigest, now: BootMs) -> impl Iterator<Item = RequestReport> {
+        let ends = self.certain().map(move |(incarnation, end)| RequestReport {
             digest,
-            seen: Seen::BackendEnded { incarnation: *incarnation, had_begun: end.had_begun },
+            seen: RequestObservation::BackendEnded {
+                incarnation: *incarnation,
+                had_begun: end.had_begun,
+            },
             age_ms: now.since(end.at),
         });
-        let answered = self.answered_at.map(|at| RequestWord {
+        let answered = self.answered_at.map(|at| RequestReport {
             digest,
-            seen: Seen::Answered,
+            seen: RequestObservation::Answered,
             age_ms: now.since(at),
         });
         answered.into_iter().chain(ends)
--- a/crates/core/src/direct/event_cutter.rs
+++ b/crates/core/src/direct/event_splitter.rs
@@ -16,11 +16,11 @@
 /// A backend server may stop in the middle of an event. If the torn part reached the caller, the
 /// continuation from another backend server could not be joined to it without a repeat or a gap.
 #[derive(Clone, Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     pending: BytesMut,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Adds bytes as they arrived.
     pub fn push(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
--- a/crates/core/src/direct/outlook.rs
+++ b/crates/core/src/direct/group_availability.rs
@@ -34,7 +34,7 @@
 
 /// What the operators and the platform say of how a group fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Outage {
+pub struct OutageDurations {
     /// Time for which all ranks stall when one is gone.
     pub stall_ms: u64,
     /// Time that a group takes to form anew.
@@ -44,23 +44,23 @@
 /// Whether a request may be sent to a group now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
-pub enum Passage {
+pub enum SendPermission {
     /// It may.
-    Open,
+    Allowed,
     /// The group stands; this request may be sent to see whether it is back.
     Probe,
     /// The group stands.
-    Standing {
+    Unavailable {
         /// When it is expected back.
         back_at: BootMs,
         /// When to ask again.
-        look_at: BootMs,
+        retry_at: BootMs,
     },
 }
 
 /// What one entry has seen of the group of a service.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct GroupOutlook {
+pub struct GroupAvailability {
     /// When a stream last gave an event.
     newest_event_at: Option<BootMs>,
     /// Since when this entry waits for anything from the group.
@@ -72,7 +72,7 @@
     probe_at: BootMs,
 }
 
-impl GroupOutlook {
+impl GroupAvailability {
     /// Notes that a request is sent while `open` others are open.
     pub const fn note_sent(&mut self, now: BootMs, open: u32) {
         if open == 0 {
@@ -139,26 +139,26 @@
     }
 
     /// Whether one more request may be sent while `open` are open.
-    pub fn passage(&mut self, now: BootMs, open: u32, outage: Outage) -> Passage {
+    pub fn passage(&mut self, now: BootMs, open: u32, outage: OutageDurations) -> SendPermission {
         let Some((back_at, pause_ms)) = self.standing(now, open, outage) else {
-            return Passage::Open;
+            return SendPermission::Allowed;
         };
         if now >= self.probe_at {
             self.probe_at = now.after(pause_ms);
-            return Passage::Probe;
+            return SendPermission::Probe;
         }
-        Passage::Standing { back_at, look_at: self.probe_at }
+        SendPermission::Unavailable { back_at, retry_at: self.probe_at }
     }
 
     /// When a group that stands is expected back; nothing when it makes passes as far as is known.
     #[must_use]
-    pub fn back_at(&self, now: BootMs, open: u32, outage: Outage) -> Option<BootMs> {
+    pub fn back_at(&self, now: BootMs, open: u32, outage: OutageDurations) -> Option<BootMs> {
         self.standing(now, open, outage).map(|(back_at, _)| back_at)
     }
 
     /// When a group that stands is expected back, and the pause between probes.
-    fn standing(&self, now: BootMs, open: u32, outage: Outage) -> Option<(BootMs, u64)> {
-        let Outage { stall_ms, forming_ms } = outage;
+    fn standing(&self, now: BootMs, open: u32, outage: OutageDurations) -> Option<(BootMs, u64)> {
+        let OutageDurations { stall_ms, forming_ms } = outage;
         if let Some(broken_at) = self.broken_at {
             return Some((expected(now, broken_at, forming_ms), PROBE_MS));
         }
--- a/crates/core/src/direct/passes.rs
+++ b/crates/core/src/direct/pass_tracker.rs
@@ -35,7 +35,7 @@
 
 /// How the streams of one service go on, as one entry sees it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Passes {
+pub struct PassTracker {
     newest_event_at: BootMs,
     ended: u64,
     last_end_at: BootMs,
@@ -48,7 +48,7 @@
     left_bytes: Option<f64>,
 }
 
-impl Passes {
+impl PassTracker {
     /// Notes an event of a stream whose caller was promised pauses of at most `target_gap_ms`. Returns
     /// whether it is the first one of a pass.
     pub fn note_event(&mut self, now: BootMs, target_gap_ms: Option<u64>) -> bool {
--- a/crates/core/src/direct/quiet.rs
+++ b/crates/core/src/direct/quiet_ranks.rs
@@ -27,7 +27,7 @@
 
 /// A rank that an entry has found quiet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QuietWord {
+pub struct QuietReport {
     /// Where it listens.
     pub address: SocketAddr,
     /// When it was found quiet, before now.
@@ -98,19 +98,19 @@
     /// told.
     ///
     /// As its streams leave there is ever less to tell a quiet rank by, and new work would be sent there.
-    pub fn note_silent(&mut self, server: &BackendServer, now: BootMs) -> Option<QuietWord> {
+    pub fn note_silent(&mut self, server: &BackendServer, now: BootMs) -> Option<QuietReport> {
         let is_quiet = self.row(server).is_some_and(|row| self.is_quiet(row, now));
         let row = self.row_of(server).filter(|_| is_quiet)?;
         let was_known = row.streams.quiet_until > now;
         row.streams.quiet_until = now.after(QUIET_KEPT_MS);
-        (!was_known).then_some(QuietWord { address: server.address, age_ms: 0 })
+        (!was_known).then_some(QuietReport { address: server.address, age_ms: 0 })
     }
 
     /// Takes another entry's word for a quiet rank. Returns whether it is news.
     ///
     /// An entry with few streams there would find it out too late for its own. One that got an event since then
     /// knows better: only the other's way there is broken.
-    pub fn note_told_quiet(&mut self, word: QuietWord, now: BootMs) -> bool {
+    pub fn note_told_quiet(&mut self, word: QuietReport, now: BootMs) -> bool {
         let found_at = now.before(word.age_ms);
         let until = found_at.after(QUIET_KEPT_MS);
         let mut is_news = false;
--- a/crates/core/src/direct/retry_allowance.rs
+++ b/crates/core/src/direct/retry_budget.rs
@@ -6,7 +6,7 @@
 
 /// How much of the fleet's budget one entry takes by itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AllowanceSettings {
+pub struct RetryBudgetSettings {
     /// Span over which sends are counted.
     pub window_ms: u64,
     /// Second sends for each first send.
@@ -21,8 +21,8 @@
 /// fixed part of the slack, so the sum holds also while entries cannot hear each other. Without it
 /// a fault that hits every request would multiply the load when capacity is short.
 #[derive(Clone, Debug)]
-pub struct RetryAllowance {
-    settings: AllowanceSettings,
+pub struct RetryBudget {
+    settings: RetryBudgetSettings,
     services: IndexMap<String, Sends>,
 }
 
@@ -32,15 +32,15 @@
     second: VecDeque<BootMs>,
 }
 
-impl RetryAllowance {
+impl RetryBudget {
     /// Begins without sends.
     #[must_use]
-    pub fn new(settings: AllowanceSettings) -> Self {
+    pub fn new(settings: RetryBudgetSettings) -> Self {
         Self { settings, services: IndexMap::new() }
     }
 
     /// Changes the part that this entry takes.
-    pub fn set(&mut self, settings: AllowanceSettings) {
+    pub fn set(&mut self, settings: RetryBudgetSettings) {
         self.settings = settings;
     }
 
@@ -63,7 +63,7 @@
     /// Whether a second send is left in the budget.
     #[must_use]
     pub fn has_one(&mut self, now: BootMs, service: &str) -> bool {
-        let AllowanceSettings { ratio, slack, .. } = self.settings;
+        let RetryBudgetSettings { ratio, slack, .. } = self.settings;
         let sends = self.sends(now, service);
         let allowed = ratio * sends.first.len() as f64 + slack;
         sends.second.len() as f64 + 1.0 <= allowed
--- a/crates/core/src/direct/choice.rs
+++ b/crates/core/src/direct/selection.rs
@@ -127,7 +127,7 @@
     /// others to take their work over.
     fn leaves_few(&self, service: &str, now: BootMs) -> bool {
         let avoided = self.open(service).filter(|row| row.is_avoided(now)).count();
-        avoided <= most_left(self.open(service).count())
+        avoided <= max_avoided_ranks(self.open(service).count())
     }
 
     fn load(&self, row: &Row, now: BootMs) -> f64 {
@@ -144,7 +144,7 @@
 }
 
 /// How many of so many ranks may be left at a time; one of a small group.
-pub(crate) fn most_left(ranks: usize) -> usize {
+pub(crate) fn max_avoided_ranks(ranks: usize) -> usize {
     (ranks / LEFT_DIVISOR).max(1)
 }
 
--- a/crates/core/src/direct/waiting.rs
+++ b/crates/core/src/direct/waiting.rs
@@ -52,7 +52,7 @@
 /// Until when a stream's caller waits for an event before it leaves, when it got the last one, or sent
 /// its request, at `since`; a part of it is left for the event.
 #[must_use]
-pub fn waits_until(route: &Route, since: BootMs) -> BootMs {
+pub fn event_wait_deadline(route: &Route, since: BootMs) -> BootMs {
     let gap_ms = route.target_gap_ms.unwrap_or(0) * PATIENCE_GAPS;
     let patience_ms = LEAST_PATIENCE_MS.max(route.target_latency_ms * PATIENCE_TARGETS).max(gap_ms);
     since.after(patience_ms - patience_ms / FIRST_EVENT_DIVISOR)
@@ -62,7 +62,7 @@
 /// request, at `since`; 1 when a wait for it has to end.
 #[must_use]
 pub fn patience_used(route: &Route, since: BootMs, now: BootMs) -> f64 {
-    let patience_ms = waits_until(route, since).since(since).max(1);
+    let patience_ms = event_wait_deadline(route, since).since(since).max(1);
     now.since(since) as f64 / patience_ms as f64
 }
 
@@ -73,7 +73,7 @@
 /// part of the time that it has left; it is late in any case, so the end of that part is no worse for it
 /// than the beginning.
 #[must_use]
-pub fn come_back_ms(back_in_ms: u64, draw: f64, left_ms: u64) -> u64 {
+pub fn retry_after_ms(back_in_ms: u64, draw: f64, left_ms: u64) -> u64 {
     let most_ms = (left_ms / COME_BACK_DIVISOR).saturating_sub(COME_BACK_MARGIN_MS).max(1);
     let spread_ms = most_ms.saturating_sub(back_in_ms).clamp(LEAST_SPREAD_MS, MOST_SPREAD_MS);
     // Later than the caller waits is too late; all at the end of that time would come at once.
@@ -86,7 +86,7 @@
 /// One that is late already gives way to those that are not. One that was `sent` before does not wait: its
 /// backend server went silent or turned it away, after most of its caller's patience.
 #[must_use]
-pub fn pass_wait_until(route: &Route, entered_at: BootMs, is_late: bool, sent: bool) -> BootMs {
+pub fn pass_wait_deadline(route: &Route, entered_at: BootMs, is_late: bool, sent: bool) -> BootMs {
     let target_ms = route.target_latency_ms;
     match (sent, is_late) {
         (true, _) => entered_at,
@@ -100,12 +100,12 @@
 /// A request that comes back after a refusal has less time left than it had. That tells it from a fresh
 /// one, which can still be answered on time and can come back once more.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FirstDeadlines {
+pub struct InitialTimeouts {
     longest_ms: u64,
     seen: u32,
 }
 
-impl FirstDeadlines {
+impl InitialTimeouts {
     /// Notes a request with `left_ms` left, and tells how much time it has used up before.
     pub fn note(&mut self, left_ms: u64, route: &Route) -> u64 {
         self.seen = self.seen.saturating_add(1);
@@ -146,7 +146,7 @@
 /// and a caller that leaves gets none; what was sent before has no further try. If it lay at a frozen
 /// machine, a caller that leaves also leaves work behind that nobody waits for.
 #[must_use]
-pub fn hastened(urgency: u8, lowest_priority: u8, patience_used: f64, sent: bool) -> u8 {
+pub fn escalated_urgency(urgency: u8, lowest_priority: u8, patience_used: f64, sent: bool) -> u8 {
     let is_split = lowest_priority <= MOST_SPLIT_PRIORITY;
     let is_last_chance = sent || patience_used >= HASTENED_PART;
     if is_split && is_last_chance { urgency - urgency % 2 } else { urgency }
--- a/crates/core/src/map_change/unheard.rs
+++ b/crates/core/src/map_change/unheard.rs
@@ -5,7 +5,7 @@
 //! 2 s without an event; an entry that has only silence to go by needs most of that to tell a frozen machine
 //! from a slow group.
 
-use crate::direct::{BootMs, most_left};
+use crate::direct::{BootMs, max_avoided_ranks};
 use indexmap::{IndexMap, IndexSet};
 use std::net::{IpAddr, SocketAddr};
 
@@ -84,7 +84,7 @@
         let mut told: Vec<Hearing> =
             heard.into_iter().map(|machine| Hearing { machine, is_heard: true }).collect();
         // Entries leave no more; and where more are silent, the own link is the likelier cause.
-        if silent.len() <= most_left(others.len()) {
+        if silent.len() <= max_avoided_ranks(others.len()) {
             let is_due = |machine: &IpAddr| {
                 self.said.get(machine).is_none_or(|at| now.since(*at) >= SAY_AGAIN_MS)
             };
--- a/crates/core/tests/crash_table.rs
+++ b/crates/core/tests/crash_table.rs
@@ -2,7 +2,8 @@
 
 use googletest::prelude::*;
 use hickorycross_core::direct::{
-    BootMs, CrashTable, IncarnationDigest, RequestDigest, RequestWord, Seen, WordOutcome,
+    BootMs, CrashTable, IncarnationDigest, ReportOutcome, RequestDigest, RequestObservation,
+    RequestReport,
 };
 
 const REQUEST: RequestDigest = RequestDigest(1);
@@ -85,28 +86,30 @@
     },
 ];
 
-fn ended(number: u64, had_begun: bool, age_ms: u64) -> RequestWord {
-    let seen = Seen::BackendEnded { incarnation: IncarnationDigest(number), had_begun };
-    RequestWord { digest: REQUEST, seen, age_ms }
+fn ended(number: u64, had_begun: bool, age_ms: u64) -> RequestReport {
+    let seen =
+        RequestObservation::BackendEnded { incarnation: IncarnationDigest(number), had_begun };
+    RequestReport { digest: REQUEST, seen, age_ms }
 }
 
 fn hear(table: &mut CrashTable, heard: Heard) {
-    let answered = |age_ms| RequestWord { digest: REQUEST, seen: Seen::Answered, age_ms };
+    let answered =
+        |age_ms| RequestReport { digest: REQUEST, seen: RequestObservation::Answered, age_ms };
     let _ = match heard {
         Ended(number) => table.note(ended(number, true, 0), NOW),
         Suspected(number) => {
             let _ = table.suspect(REQUEST, IncarnationDigest(number), true, NOW);
-            WordOutcome::Known
+            ReportOutcome::Known
         }
         EndedUnbegun(number) => table.note(ended(number, false, 0), NOW),
         AnsweredAgo(age_ms) => table.note(answered(age_ms), NOW),
         Answered => {
             let _ = table.note_answered(REQUEST, NOW);
-            WordOutcome::Known
+            ReportOutcome::Known
         }
         Lives(number) => {
             table.retract(REQUEST, IncarnationDigest(number));
-            WordOutcome::Known
+            ReportOutcome::Known
         }
     };
 }
@@ -147,7 +150,7 @@
     expect_true!(table.is_refused(REQUEST));
     expect_that!(table.words(NOW), eq(&words));
     expect_that!(table.sum(), eq(sum));
-    expect_that!(table.note(ended(3, true, 0), NOW), eq(WordOutcome::New), "it is certain now");
+    expect_that!(table.note(ended(3, true, 0), NOW), eq(ReportOutcome::New), "it is certain now");
     expect_that!(table.words(NOW).len(), eq(words.len() + 1));
 }
 
@@ -156,7 +159,7 @@
 fn an_entry_that_has_seen_an_answer_contradicts() {
     let mut table = CrashTable::default();
     let _ = table.note_answered(REQUEST, NOW);
-    expect_that!(table.note(ended(1, true, 0), NOW), eq(WordOutcome::Contradicted));
+    expect_that!(table.note(ended(1, true, 0), NOW), eq(ReportOutcome::Contradicted));
 }
 
 /// Guards against a table that grows without bound, or forgets a refused request for ones that are not.
@@ -165,7 +168,7 @@
     let mut table = CrashTable::default();
     [Ended(1), Ended(2), Ended(3)].into_iter().for_each(|heard| hear(&mut table, heard));
     for request in 2..2_000 {
-        let word = RequestWord { digest: RequestDigest(request), ..ended(4, true, 0) };
+        let word = RequestReport { digest: RequestDigest(request), ..ended(4, true, 0) };
         let _ = table.note(word, NOW);
     }
     expect_true!(table.is_refused(REQUEST));
--- a/crates/core/tests/direct.rs
+++ b/crates/core/tests/direct.rs
@@ -3,9 +3,9 @@
 use googletest::prelude::*;
 use hickorycross_core::Verdict;
 use hickorycross_core::direct::{
-    Adoption, AllowanceSettings, AttemptEnd, BackendServer, BackendShare, BackendState,
-    BackendTable, BootMs, CallerLimits, Catalog, CatalogBelief, EventCutter, PeerTable,
-    RequestKind, RetryAllowance, Route, judge_attempt,
+    Adoption, AttemptEnd, BackendServer, BackendShare, BackendState, BackendTable, BootMs,
+    CallerLimits, Catalog, CatalogState, EventSplitter, PeerTable, RequestKind, RetryBudget,
+    RetryBudgetSettings, Route, judge_attempt,
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -67,7 +67,7 @@
 /// Cause: taking whatever is heard last.
 #[gtest]
 fn a_belief_never_goes_back_and_knows_its_age() {
-    let mut belief = CatalogBelief::default();
+    let mut belief = CatalogState::default();
     expect_that!(belief.is_fresh(BootMs(0), u64::MAX), eq(false), "nothing is known");
     expect_that!(belief.offer(catalog(5, vec![])), eq(Adoption::Adopted));
     expect_true!(belief.confirm(5, BootMs(1_000)));
@@ -119,7 +119,7 @@
         },
     ];
     for case in cases {
-        let mut cutter = EventCutter::default();
+        let mut cutter = EventSplitter::default();
         let mut ids = Vec::new();
         let mut bytes = String::new();
         for piece in case.pieces {
@@ -143,8 +143,8 @@
         (AttemptEnd::Rejected, Verdict::NotRun),
         (AttemptEnd::OtherIncarnation, Verdict::NotRun),
         (AttemptEnd::Broken, Verdict::MayHaveRun),
-        (AttemptEnd::Silent, Verdict::MayHaveRun),
-        (AttemptEnd::Spoiled, Verdict::MayHaveRun),
+        (AttemptEnd::TimedOut, Verdict::MayHaveRun),
+        (AttemptEnd::InvalidAnswer, Verdict::MayHaveRun),
     ];
     for (end, verdict) in cases {
         expect_that!(judge_attempt(end).verdict, eq(verdict), "{}", end.as_str());
@@ -163,8 +163,8 @@
     const RATIO: f64 = 0.2;
     const SLACK: f64 = 90.0;
     let settings =
-        AllowanceSettings { window_ms: 10_000, ratio: RATIO, slack: SLACK / ENTRIES as f64 };
-    let mut entries = vec![RetryAllowance::new(settings); ENTRIES];
+        RetryBudgetSettings { window_ms: 10_000, ratio: RATIO, slack: SLACK / ENTRIES as f64 };
+    let mut entries = vec![RetryBudget::new(settings); ENTRIES];
     let (mut first, mut second) = (0, 0);
     for at in 0..1_000 {
         let now = BootMs(at * 10);
--- a/crates/core/tests/direct_keys.rs
+++ b/crates/core/tests/direct_keys.rs
@@ -1,7 +1,7 @@
 //! Until when keys are judged by the configuration in force, beside a store that goes deaf or away.
 
 use googletest::prelude::*;
-use hickorycross_core::direct::{BootMs, Catalog, CatalogBelief, key_bound_ms};
+use hickorycross_core::direct::{BootMs, Catalog, CatalogState, max_catalog_age_for_keys_ms};
 
 const REVOKE_MS: u64 = 5_000;
 const WATCH_MS: u64 = 1_000;
@@ -42,8 +42,8 @@
 ];
 
 /// The belief of an entry whose first watch is sent at `first_at_ms`, when nothing more comes.
-fn believe(case: &Case, first_at_ms: u64) -> CatalogBelief {
-    let mut belief = CatalogBelief::default();
+fn believe(case: &Case, first_at_ms: u64) -> CatalogState {
+    let mut belief = CatalogState::default();
     let _ = belief.offer(Catalog { version: VERSION, ..Catalog::default() });
     let mut sent_at_ms = first_at_ms;
     loop {
@@ -66,7 +66,7 @@
 /// Cause: a watch that heard nothing because it was deaf, taken for proof.
 #[gtest]
 fn no_key_outlives_its_bound() {
-    let bound_ms = key_bound_ms(REVOKE_MS, WATCH_MS);
+    let bound_ms = max_catalog_age_for_keys_ms(REVOKE_MS, WATCH_MS);
     for case in CASES {
         for first_at_ms in 5_000..5_000 + WATCH_MS + ANSWER_MS {
             let belief = believe(case, first_at_ms);
@@ -91,7 +91,7 @@
     for first_at_ms in 5_000..5_000 + WATCH_MS + ANSWER_MS {
         let belief = believe(case, first_at_ms);
         let now = BootMs(case.away_from_ms + REVOKE_MS / 2 - 2 * ANSWER_MS);
-        let bound_ms = key_bound_ms(REVOKE_MS, WATCH_MS);
+        let bound_ms = max_catalog_age_for_keys_ms(REVOKE_MS, WATCH_MS);
         expect_true!(belief.is_fresh(now, bound_ms), "watched from {first_at_ms}");
     }
 }
@@ -99,5 +99,8 @@
 /// A watch that is shorter than the store may be deaf is not believed as long.
 #[gtest]
 fn a_short_watch_is_believed_less() {
-    expect_that!(key_bound_ms(REVOKE_MS, 400), eq(key_bound_ms(REVOKE_MS, WATCH_MS) - 600));
+    expect_that!(
+        max_catalog_age_for_keys_ms(REVOKE_MS, 400),
+        eq(max_catalog_age_for_keys_ms(REVOKE_MS, WATCH_MS) - 600)
+    );
 }
--- a/crates/core/tests/direct_outage.rs
+++ b/crates/core/tests/direct_outage.rs
@@ -2,11 +2,11 @@
 
 use googletest::prelude::*;
 use hickorycross_core::direct::{
-    BackendShare, BootMs, FirstDeadlines, GroupOutlook, Outage, Passage, RequestKind, Route,
-    come_back_ms, patience_used, urgency, waits_until,
+    BackendShare, BootMs, GroupAvailability, InitialTimeouts, OutageDurations, RequestKind, Route,
+    SendPermission, event_wait_deadline, patience_used, retry_after_ms, urgency,
 };
 
-const OUTAGE: Outage = Outage { stall_ms: 1_500, forming_ms: 600 };
+const OUTAGE: OutageDurations = OutageDurations { stall_ms: 1_500, forming_ms: 600 };
 
 fn route() -> Route {
     Route {
@@ -25,8 +25,8 @@
 }
 
 /// A rank falls silent at 10 s; its group turns requests away from 11.5 s on and is back at 12.2 s.
-fn outlook_at(now_ms: u64) -> GroupOutlook {
-    let mut outlook = GroupOutlook::default();
+fn outlook_at(now_ms: u64) -> GroupAvailability {
+    let mut outlook = GroupAvailability::default();
     outlook.note_sent(BootMs(1_000), 0);
     for event_ms in (1_100..=10_000).step_by(50) {
         outlook.note_event(BootMs(event_ms));
@@ -76,17 +76,17 @@
     let mut sent = 0;
     for now in (11_500..12_200).step_by(10).map(BootMs) {
         match outlook.passage(now, 0, OUTAGE) {
-            Passage::Probe => {
+            SendPermission::Probe => {
                 sent += 1;
                 expect_true!(outlook.note_rejected(now));
             }
-            Passage::Standing { look_at, .. } => expect_that!(look_at, gt(now)),
-            Passage::Open => panic!("it is broken"),
+            SendPermission::Unavailable { retry_at, .. } => expect_that!(retry_at, gt(now)),
+            SendPermission::Allowed => panic!("it is broken"),
         }
     }
     expect_that!(sent, all!(ge(7), le(9)));
     outlook.note_taken(BootMs(12_225));
-    expect_that!(outlook.passage(BootMs(12_226), 1, OUTAGE), eq(Passage::Open));
+    expect_that!(outlook.passage(BootMs(12_226), 1, OUTAGE), eq(SendPermission::Allowed));
 }
 
 /// Symptom: 2 s after a group is back, callers who come fresh are still late.
@@ -150,7 +150,7 @@
                 if now_ms < *came_ms {
                     return true;
                 }
-                if now > waits_until(&route, came) {
+                if now > event_wait_deadline(&route, came) {
                     lost += 1;
                     return false;
                 }
@@ -211,7 +211,7 @@
 fn a_full_rank_is_not_a_broken_group() {
     let mut outlook = outlook_at(10_000);
     expect_false!(outlook.note_rejected(BootMs(10_100)));
-    expect_that!(outlook.passage(BootMs(10_110), 9, OUTAGE), eq(Passage::Open));
+    expect_that!(outlook.passage(BootMs(10_110), 9, OUTAGE), eq(SendPermission::Allowed));
 }
 
 struct ComeBackCase {
@@ -242,7 +242,7 @@
         ComeBackCase { name: "little left", back_in_ms: 700, left_ms: 600, told_ms: (0, 180) },
     ];
     for case in cases {
-        let told = |draw| come_back_ms(case.back_in_ms, draw, case.left_ms);
+        let told = |draw| retry_after_ms(case.back_in_ms, draw, case.left_ms);
         let (least_ms, most_ms) = case.told_ms;
         expect_that!(told(0.0), eq(least_ms), "{}", case.name);
         expect_that!(told(0.999_999), all!(le(most_ms), ge(most_ms - 2)), "{}", case.name);
@@ -253,11 +253,11 @@
 #[gtest]
 fn a_stream_is_waited_for_as_long_as_its_caller_waits() {
     let since = BootMs(1_000);
-    expect_that!(waits_until(&route(), since), eq(BootMs(2_600)));
+    expect_that!(event_wait_deadline(&route(), since), eq(BootMs(2_600)));
     let slow = Route { target_latency_ms: 1_000, ..route() };
-    expect_that!(waits_until(&slow, since), eq(BootMs(4_200)));
+    expect_that!(event_wait_deadline(&slow, since), eq(BootMs(4_200)));
     let pausing = Route { target_gap_ms: Some(500), ..route() };
-    expect_that!(waits_until(&pausing, since), eq(BootMs(4_200)));
+    expect_that!(event_wait_deadline(&pausing, since), eq(BootMs(4_200)));
 }
 
 /// Symptom: a fresh request waits behind hundreds that are late whatever is done.
@@ -267,7 +267,7 @@
 /// Cause: one urgency for both. A less urgent team is never served before a more urgent one for it.
 #[gtest]
 fn fresh_requests_go_before_late_ones_of_their_team() {
-    let mut deadlines = FirstDeadlines::default();
+    let mut deadlines = InitialTimeouts::default();
     expect_that!(deadlines.note(5_900, &route()), eq(2_100), "by the route's time at first");
     for _ in 0..30 {
         expect_that!(deadlines.note(8_000, &route()), eq(0));
--- a/crates/core/tests/direct_random.rs
+++ b/crates/core/tests/direct_random.rs
@@ -1,7 +1,7 @@
 //! Properties of what an entry reads and counts, on inputs drawn with a fixed seed.
 
 use googletest::prelude::*;
-use hickorycross_core::direct::{BootMs, EventCutter, Passes};
+use hickorycross_core::direct::{BootMs, EventSplitter, PassTracker};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
@@ -34,7 +34,7 @@
         };
         let mut bytes: Vec<u8> = events.iter().map(written).collect::<String>().into_bytes();
         bytes.extend(torn.as_bytes());
-        let mut cutter = EventCutter::default();
+        let mut cutter = EventSplitter::default();
         let mut read = Vec::new();
         let mut rest = &bytes[..];
         for length in cuts.iter().cycle() {
@@ -66,7 +66,7 @@
     let step = (1_u64..700, 0_usize..4, 1_usize..1_000_000);
     let input = (vec(step, 0..40), proptest::option::of(1_u64..1_000));
     let played = runner().run(&input, |(steps, target_gap_ms)| {
-        let mut passes = Passes::default();
+        let mut passes = PassTracker::default();
         let mut now = BootMs(10_000);
         for (pause_ms, requests, bytes) in steps {
             now = now.after(pause_ms);
--- a/crates/core/tests/moved_requests.rs
+++ b/crates/core/tests/moved_requests.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use hickorycross_core::direct::{
-    BootMs, RequestKind, Route, hastened, pass_wait_until, patience_used, urgency,
+    BootMs, RequestKind, Route, escalated_urgency, pass_wait_deadline, patience_used, urgency,
 };
 
 /// A pass of a group whose demand has just shifted.
@@ -61,7 +61,10 @@
         let used_ms = self.at_rank_from.since(self.asked_at);
         let urgency = urgency(PRIORITY, LOWEST_PRIORITY, used_ms, route, false);
         let patience_used = patience_used(route, self.asked_at, self.at_rank_from);
-        (hastened(urgency, LOWEST_PRIORITY, patience_used, self.is_moved), self.at_rank_from.0)
+        (
+            escalated_urgency(urgency, LOWEST_PRIORITY, patience_used, self.is_moved),
+            self.at_rank_from.0,
+        )
     }
 }
 
@@ -72,7 +75,7 @@
     let asked_at = found_at.before(case.asked_before_ms);
     let moved = Waiting {
         asked_at,
-        at_rank_from: pass_wait_until(&route, found_at, true, true),
+        at_rank_from: pass_wait_deadline(&route, found_at, true, true),
         is_moved: true,
     };
     let fresh = |at: BootMs| Waiting { asked_at: at, at_rank_from: at, is_moved: false };
@@ -107,12 +110,16 @@
 fn only_callers_about_to_leave_are_hastened() {
     let late = urgency(PRIORITY, LOWEST_PRIORITY, TARGET_MS, &route(), false);
     let fresh = urgency(PRIORITY, LOWEST_PRIORITY, 0, &route(), false);
-    expect_that!(hastened(late, LOWEST_PRIORITY, 0.3, false), gt(fresh));
-    expect_that!(hastened(late, LOWEST_PRIORITY, 0.6, false), eq(fresh));
-    expect_that!(hastened(late, LOWEST_PRIORITY, 0.3, true), eq(fresh));
+    expect_that!(escalated_urgency(late, LOWEST_PRIORITY, 0.3, false), gt(fresh));
+    expect_that!(escalated_urgency(late, LOWEST_PRIORITY, 0.6, false), eq(fresh));
+    expect_that!(escalated_urgency(late, LOWEST_PRIORITY, 0.3, true), eq(fresh));
     expect_that!(
-        hastened(late, LOWEST_PRIORITY, 0.6, false),
+        escalated_urgency(late, LOWEST_PRIORITY, 0.6, false),
         gt(urgency(0, LOWEST_PRIORITY, 900, &route(), false))
     );
-    expect_that!(hastened(7, 9, 0.9, true), eq(7), "many priorities have one urgency each");
+    expect_that!(
+        escalated_urgency(7, 9, 0.9, true),
+        eq(7),
+        "many priorities have one urgency each"
+    );
 }
--- a/crates/core/tests/named_limits.rs
+++ b/crates/core/tests/named_limits.rs
@@ -1,7 +1,7 @@
 //! What is believed of backend servers that name how many requests they take.
 
 use googletest::prelude::*;
-use hickorycross_core::direct::{BootMs, IncarnationDigest, LimitWord, NamedLimits};
+use hickorycross_core::direct::{BackendLimits, BootMs, IncarnationDigest, LimitReport};
 
 const SERVER: IncarnationDigest = IncarnationDigest(1);
 const NOW: BootMs = BootMs(1_000_000);
@@ -51,17 +51,17 @@
 #[gtest]
 fn the_newest_word_holds() {
     for case in CASES {
-        let mut limits = NamedLimits::default();
+        let mut limits = BackendLimits::default();
         let mut is_news = false;
         for (millirequests_per_s, age_ms) in case.words {
             let (incarnation, age_ms) = (SERVER, *age_ms);
             let millirequests_per_s = *millirequests_per_s;
-            let word = LimitWord { incarnation, millirequests_per_s, age_ms };
+            let word = LimitReport { incarnation, millirequests_per_s, age_ms };
             is_news = limits.note(word, NOW);
         }
         expect_that!(limits.millirequests_per_s(SERVER), eq(case.believed), "{}", case.name);
         expect_that!(is_news, eq(case.is_news), "{}", case.name);
-        let mut other = NamedLimits::default();
+        let mut other = BackendLimits::default();
         for word in limits.words(NOW) {
             let _ = other.note(word, NOW);
         }
--- a/crates/core/tests/passes.rs
+++ b/crates/core/tests/passes.rs
@@ -1,7 +1,7 @@
 //! Plays a group whose demand shifts, with callers at several entries, and checks what callers get.
 
 use googletest::prelude::*;
-use hickorycross_core::direct::{BootMs, Passes};
+use hickorycross_core::direct::{BootMs, PassTracker};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -57,7 +57,7 @@
     case: &'a Case,
     is_counted: bool,
     rng: ChaCha8Rng,
-    entries: Vec<Passes>,
+    entries: Vec<PassTracker>,
     waiting: Vec<Waiting>,
     /// Sent since the pass under way began.
     sent: Vec<Stream>,
@@ -145,7 +145,7 @@
 
 fn share_on_time(case: &Case, is_counted: bool) -> f64 {
     let rng = ChaCha8Rng::seed_from_u64(1);
-    let entries = vec![Passes::default(); ENTRIES];
+    let entries = vec![PassTracker::default(); ENTRIES];
     let (waiting, sent, open) = (Vec::new(), Vec::new(), Vec::new());
     let world = World {
         case,
--- a/crates/core/tests/returning_rank.rs
+++ b/crates/core/tests/returning_rank.rs
@@ -1,7 +1,7 @@
 //! Plays entries that send streams to the ranks of a group, one of which is back from a cut or frozen.
 
 use googletest::prelude::*;
-use hickorycross_core::direct::{BackendServer, BackendState, BackendTable, BootMs, QuietWord};
+use hickorycross_core::direct::{BackendServer, BackendState, BackendTable, BootMs, QuietReport};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
@@ -279,7 +279,7 @@
         if let Some(before_ms) = case.event_before_ms {
             table.note_event(&rank, 7, now.before(case.age_ms + before_ms));
         }
-        let word = QuietWord { address: rank.address, age_ms: case.age_ms };
+        let word = QuietReport { address: rank.address, age_ms: case.age_ms };
         expect_that!(table.note_told_quiet(word, now), eq(case.is_news), "{}", case.name);
         expect_that!(table.is_unheard(&rank, now), eq(case.is_news), "{}", case.name);
         expect_false!(table.note_told_quiet(word, now), "{}: told again", case.name);
--- a/crates/direct/src/agent/fleet.rs
+++ b/crates/direct/src/agent/fleet.rs
@@ -5,7 +5,7 @@
 use crate::exchange::{self, Question};
 use crate::peer_call;
 use hickorycross_core::direct::{
-    Adoption, BackendServer, CatalogBelief, GroupDimensions, PeerTable,
+    Adoption, BackendServer, CatalogState, GroupDimensions, PeerTable,
 };
 use hickorycross_core::map_change::Roster;
 use std::cell::{Cell, RefCell};
@@ -31,7 +31,7 @@
 pub(crate) struct Fleet {
     log: DecisionLog,
     service: String,
-    catalog: RefCell<CatalogBelief>,
+    catalog: RefCell<CatalogState>,
     roster: RefCell<Roster>,
     peers: RefCell<PeerTable>,
     /// Machines that the agent needs to know, because it leads so many ranks.
--- a/crates/direct/src/forward/attempt.rs
+++ b/crates/direct/src/forward/attempt.rs
@@ -165,7 +165,7 @@
             Some(_) => Brought::End(AttemptEnd::NothingSent),
             None => Brought::End(AttemptEnd::Broken),
         },
-        Err(Impatience::Silent) => Brought::End(AttemptEnd::Silent),
+        Err(Impatience::Silent) => Brought::End(AttemptEnd::TimedOut),
         Err(Impatience::Superseded) => Brought::End(AttemptEnd::Broken),
         Err(Impatience::Limit) => Brought::Limit { sent: true },
     }
@@ -251,7 +251,7 @@
         return Brought::End(end);
     }
     if !belongs(state, request, &parts) {
-        return Brought::End(AttemptEnd::Spoiled);
+        return Brought::End(AttemptEnd::InvalidAnswer);
     }
     let response = Response::from_parts(parts, body);
     Brought::Answer(Box::new(Reply { response, attempt }))
--- a/crates/direct/src/forward/crash.rs
+++ b/crates/direct/src/forward/crash.rs
@@ -7,7 +7,8 @@
 use crate::state::EntryState;
 use hickorycross_core::Verdict;
 use hickorycross_core::direct::{
-    BackendServer, IncarnationDigest, RequestDigest, RequestWord, Seen, WordOutcome,
+    BackendServer, IncarnationDigest, ReportOutcome, RequestDigest, RequestObservation,
+    RequestReport,
 };
 use indexmap::IndexMap;
 use std::cell::RefCell;
@@ -25,18 +26,18 @@
 /// Backend servers to which a connection broke, and the requests that were there, until it is known whether
 /// they have ended.
 #[derive(Debug, Default)]
-pub(crate) struct Suspicions(RefCell<IndexMap<IncarnationDigest, Vec<RequestWord>>>);
+pub(crate) struct Suspicions(RefCell<IndexMap<IncarnationDigest, Vec<RequestReport>>>);
 
 impl Suspicions {
     /// Adds a request; returns whether its backend server was not suspected yet.
-    fn add(&self, incarnation: IncarnationDigest, word: RequestWord) -> bool {
+    fn add(&self, incarnation: IncarnationDigest, word: RequestReport) -> bool {
         let mut suspicions = self.0.borrow_mut();
         let words = suspicions.entry(incarnation).or_default();
         words.push(word);
         words.len() == 1
     }
 
-    fn take(&self, incarnation: IncarnationDigest) -> Vec<RequestWord> {
+    fn take(&self, incarnation: IncarnationDigest) -> Vec<RequestReport> {
         self.0.borrow_mut().swap_remove(&incarnation).unwrap_or_default()
     }
 }
@@ -53,8 +54,8 @@
         let incarnation = IncarnationDigest::of(server);
         // A plain answer has no head before it is whole.
         let had_begun = self.has_head || !self.request.route.kind.is_stream();
-        let seen = Seen::BackendEnded { incarnation, had_begun };
-        let word = RequestWord { digest: self.digest, seen, age_ms: 0 };
+        let seen = RequestObservation::BackendEnded { incarnation, had_begun };
+        let word = RequestReport { digest: self.digest, seen, age_ms: 0 };
         let mut crashes = self.state.crashes.borrow_mut();
         if crashes.suspect(self.digest, incarnation, had_begun, boot_now())
             && self.state.suspicions.add(incarnation, word)
@@ -93,15 +94,15 @@
             state.crashes.borrow_mut().retract(word.digest, incarnation);
         } else {
             let age_ms = boot_now().since(broke_at);
-            note_certain(&state, RequestWord { age_ms, ..word });
+            note_certain(&state, RequestReport { age_ms, ..word });
         }
     }
 }
 
 /// Takes note that a backend server has ended under a request, and tells others.
-fn note_certain(state: &EntryState, word: RequestWord) {
+fn note_certain(state: &EntryState, word: RequestReport) {
     let now = boot_now();
-    if state.crashes.borrow_mut().note(word, now) != WordOutcome::New {
+    if state.crashes.borrow_mut().note(word, now) != ReportOutcome::New {
         return;
     }
     metrics::counter!("hickorycross_backend_servers_ended_under_requests_total").increment(1);
@@ -114,7 +115,7 @@
 pub(super) fn note_answered(state: &EntryState, digest: RequestDigest) {
     let now = boot_now();
     if state.crashes.borrow_mut().note_answered(digest, now) {
-        let word = RequestWord { digest, seen: Seen::Answered, age_ms: 0 };
+        let word = RequestReport { digest, seen: RequestObservation::Answered, age_ms: 0 };
         note_request_word(state, word, "answered-here");
         state.outbox.add(SharedWord::Request(word), now);
     }
--- a/crates/direct/src/forward/life.rs
+++ b/crates/direct/src/forward/life.rs
@@ -273,7 +273,7 @@
         match self.patience(server, Awaited::Body).wait(reading).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(_)) | Err(Impatience::Superseded) => Err(AttemptEnd::Broken),
-            Err(Impatience::Silent | Impatience::Limit) => Err(AttemptEnd::Silent),
+            Err(Impatience::Silent | Impatience::Limit) => Err(AttemptEnd::TimedOut),
         }
     }
 
@@ -300,7 +300,7 @@
             AttemptEnd::OtherIncarnation => {
                 backends.note_leaving(server);
             }
-            AttemptEnd::Silent => quiet = backends.note_silent(server, boot_now()),
+            AttemptEnd::TimedOut => quiet = backends.note_silent(server, boot_now()),
             _ => {}
         }
         drop(backends);
@@ -309,7 +309,7 @@
             tell_quiet(&self.state, word, "quiet-here");
         }
         match end {
-            AttemptEnd::Silent => self.note_unbegun(),
+            AttemptEnd::TimedOut => self.note_unbegun(),
             AttemptEnd::Broken => self.note_broken(server),
             _ => {}
         }
--- a/crates/direct/src/forward/limit.rs
+++ b/crates/direct/src/forward/limit.rs
@@ -6,7 +6,7 @@
 use crate::limit_share;
 use crate::spread::{SharedWord, note_limit_word};
 use crate::state::EntryState;
-use hickorycross_core::direct::{BackendServer, IncarnationDigest, LimitWord};
+use hickorycross_core::direct::{BackendServer, IncarnationDigest, LimitReport};
 use http::HeaderMap;
 use std::rc::Rc;
 
@@ -18,7 +18,7 @@
         return;
     };
     let incarnation = IncarnationDigest::of(server);
-    let word = LimitWord { incarnation, millirequests_per_s, age_ms: 0 };
+    let word = LimitReport { incarnation, millirequests_per_s, age_ms: 0 };
     let now = boot_now();
     if state.limits.borrow_mut().note(word, now) {
         note_limit_word(state, word, Some(&server.id));
@@ -67,7 +67,7 @@
     }
 
     /// Backend servers of the request's service that are in need, with what they take.
-    fn limited(&self) -> Vec<(BackendServer, LimitWord)> {
+    fn limited(&self) -> Vec<(BackendServer, LimitReport)> {
         let limits = self.state.limits.borrow();
         if limits.is_empty() {
             return Vec::new();
--- a/crates/direct/src/forward/patience.rs
+++ b/crates/direct/src/forward/patience.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::boot_now;
 use crate::state::EntryState;
-use hickorycross_core::direct::{BackendServer, BootMs, Passes, RequestKind, Route};
+use hickorycross_core::direct::{BackendServer, BootMs, PassTracker, RequestKind, Route};
 use std::future::Future;
 use std::time::Duration;
 
@@ -92,7 +92,7 @@
     }
 
     fn passes(&self) -> u64 {
-        self.state.passes.borrow().get(&self.server.service).map_or(0, Passes::ended)
+        self.state.passes.borrow().get(&self.server.service).map_or(0, PassTracker::ended)
     }
 
     fn is_silent(&self, started: Started) -> bool {
--- a/crates/direct/src/forward/room.rs
+++ b/crates/direct/src/forward/room.rs
@@ -5,8 +5,8 @@
 use crate::clock::boot_now;
 use crate::state::UNEVEN_ENTRIES;
 use hickorycross_core::direct::{
-    BootMs, GroupOutlook, Outage, Passage, come_back_ms, hastened, pass_wait_until, patience_used,
-    urgency, waits_until,
+    BootMs, GroupAvailability, OutageDurations, SendPermission, escalated_urgency,
+    event_wait_deadline, pass_wait_deadline, patience_used, retry_after_ms, urgency,
 };
 use rand::RngExt;
 use std::cell::Cell;
@@ -36,18 +36,20 @@
             let now = boot_now();
             let room_until = self.room_until(entered_at);
             let wait_until = match self.passage(now) {
-                Passage::Open if self.has_room() && self.may_begin(entered_at) => return Ok(false),
-                Passage::Open if self.has_room() => {
+                SendPermission::Allowed if self.has_room() && self.may_begin(entered_at) => {
+                    return Ok(false);
+                }
+                SendPermission::Allowed if self.has_room() => {
                     self.wait_for_pass(entered_at).await?;
                     continue;
                 }
-                Passage::Probe if self.may_probe() => return Ok(true),
-                Passage::Open if now >= room_until => return Err(self.full()),
-                Passage::Open => room_until,
-                Passage::Probe => now.after(TURNED_AWAY_MS),
-                Passage::Standing { back_at, look_at } => {
+                SendPermission::Probe if self.may_probe() => return Ok(true),
+                SendPermission::Allowed if now >= room_until => return Err(self.full()),
+                SendPermission::Allowed => room_until,
+                SendPermission::Probe => now.after(TURNED_AWAY_MS),
+                SendPermission::Unavailable { back_at, retry_at } => {
                     self.note_standing(back_at, now)?;
-                    look_at
+                    retry_at
                 }
             };
             let left_ms = wait_until.min(self.request.limit_at).since(now).max(1);
@@ -68,7 +70,7 @@
     }
 
     fn pass_until(&self, entered_at: BootMs) -> BootMs {
-        pass_wait_until(&self.request.route, entered_at, self.is_late(), self.sends > 0)
+        pass_wait_deadline(&self.request.route, entered_at, self.is_late(), self.sends > 0)
     }
 
     /// Notes that a stream that was sent ends before its first event.
@@ -91,7 +93,7 @@
             return urgency;
         }
         let patience_used = patience_used(&request.route, self.heard_at, now);
-        hastened(urgency, lowest, patience_used, self.sends > 0)
+        escalated_urgency(urgency, lowest, patience_used, self.sends > 0)
     }
 
     async fn wait_for_pass(&self, entered_at: BootMs) -> Result<(), Refusal> {
@@ -130,7 +132,7 @@
         let now = boot_now();
         let draw = self.state.random.borrow_mut().random::<f64>();
         let left_ms = self.request.limit_at.since(now);
-        Refusal::Standing { come_back_ms: come_back_ms(back_at.since(now), draw, left_ms) }
+        Refusal::Standing { come_back_ms: retry_after_ms(back_at.since(now), draw, left_ms) }
     }
 
     /// When the group is expected back, if it stands.
@@ -142,12 +144,12 @@
         self.outlook(|outlook| outlook.back_at(boot_now(), open, outage))
     }
 
-    fn passage(&self, now: BootMs) -> Passage {
+    fn passage(&self, now: BootMs) -> SendPermission {
         let (open, outage) = (self.open(), self.outage());
         self.outlook(|outlook| outlook.passage(now, open, outage))
     }
 
-    fn outlook<T>(&self, look: impl FnOnce(&mut GroupOutlook) -> T) -> T {
+    fn outlook<T>(&self, look: impl FnOnce(&mut GroupAvailability) -> T) -> T {
         let mut outlooks = self.state.outlooks.borrow_mut();
         look(outlooks.entry(self.service.clone()).or_default())
     }
@@ -156,10 +158,10 @@
         self.state.backends.borrow().outstanding(&self.service)
     }
 
-    fn outage(&self) -> Outage {
+    fn outage(&self) -> OutageDurations {
         let service = self.request.catalog.services.get(&self.service);
         let stall_ms = self.state.settings.borrow().bounds.stall_ms;
-        Outage { stall_ms, forming_ms: service.map_or(0, |service| service.forming_ms) }
+        OutageDurations { stall_ms, forming_ms: service.map_or(0, |service| service.forming_ms) }
     }
 
     /// Whether its backend servers are ranks of a group, which make each pass together.
@@ -191,7 +193,7 @@
     }
 
     fn patient_until(&self) -> BootMs {
-        waits_until(&self.request.route, self.heard_at)
+        event_wait_deadline(&self.request.route, self.heard_at)
     }
 
     /// Until when the request waits for room.
--- a/crates/direct/src/forward/stream.rs
+++ b/crates/direct/src/forward/stream.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use futures_util::stream::unfold;
 use hickorycross_core::direct::{
-    AttemptEnd, BackendServer, BootMs, EventCutter, RequestKind, StreamEvent,
+    AttemptEnd, BackendServer, BootMs, EventSplitter, RequestKind, StreamEvent,
 };
 use http::header::CONTENT_LENGTH;
 use http::{Response, StatusCode};
@@ -22,7 +22,7 @@
     /// Where the events come from.
     server: BackendServer,
     body: Incoming,
-    cutter: EventCutter,
+    cutter: EventSplitter,
     /// The last event that the caller has got.
     last_id: Option<u64>,
     last_event_at: BootMs,
@@ -49,7 +49,7 @@
         server: attempt.server.clone(),
         attempt: Some(attempt),
         body,
-        cutter: EventCutter::default(),
+        cutter: EventSplitter::default(),
         last_id: None,
         last_event_at,
         events: 0,
@@ -77,14 +77,14 @@
                     Continuity::Next => return self.hand_on(event),
                     Continuity::Repeat => {}
                     Continuity::Gap => {
-                        if let Some(end) = self.continue_after(AttemptEnd::Spoiled).await {
+                        if let Some(end) = self.continue_after(AttemptEnd::InvalidAnswer).await {
                             return end;
                         }
                     }
                 }
             }
             if self.life.is_to_leave(&self.server) {
-                if let Some(end) = self.continue_after(AttemptEnd::Left).await {
+                if let Some(end) = self.continue_after(AttemptEnd::Abandoned).await {
                     return end;
                 }
                 continue;
@@ -117,7 +117,7 @@
             Ok(None) if self.cutter.torn_bytes() > 0 => Err(Some(AttemptEnd::Broken)),
             Ok(None) => Ok(false),
             Ok(Some(Err(_))) => Err(Some(AttemptEnd::Broken)),
-            Err(Impatience::Silent) => Err(Some(AttemptEnd::Silent)),
+            Err(Impatience::Silent) => Err(Some(AttemptEnd::TimedOut)),
             Err(Impatience::Superseded) => Err(Some(AttemptEnd::Broken)),
             Err(Impatience::Limit) => Err(None),
         }
@@ -197,7 +197,7 @@
             return Some(self.break_off("not-resumed"));
         }
         self.body = response.into_body();
-        self.cutter = EventCutter::default();
+        self.cutter = EventSplitter::default();
         self.server = attempt.server.clone();
         self.attempt = Some(attempt);
         None
--- a/crates/direct/src/limit_share.rs
+++ b/crates/direct/src/limit_share.rs
@@ -5,7 +5,9 @@
 use crate::peer_call::{self, PeerCallError};
 use crate::spread::{SharedWord, hear};
 use crate::state::EntryState;
-use hickorycross_core::direct::{BootMs, IncarnationDigest, LimitGrant, LimitWord, granting_entry};
+use hickorycross_core::direct::{
+    BootMs, IncarnationDigest, LimitGrant, LimitReport, granting_entry,
+};
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -29,7 +31,7 @@
 pub(crate) struct LimitQuestion {
     asker: SocketAddr,
     /// What the asker knows of the limit.
-    word: LimitWord,
+    word: LimitReport,
     wanted: u32,
     /// Entries that did not answer lately, and for how many milliseconds more they are not asked. Who is asked
     /// would name them as the ones that grant, and nobody would.
@@ -117,7 +119,7 @@
 }
 
 /// Asks for permits, and takes over what is granted.
-pub(crate) async fn ask(state: Rc<EntryState>, word: LimitWord, wanted: u32) {
+pub(crate) async fn ask(state: Rc<EntryState>, word: LimitReport, wanted: u32) {
     let incarnation = word.incarnation;
     let asked_at = boot_now();
     let Some(own) = state.settings.borrow().listen.control else { return };
@@ -133,7 +135,7 @@
 async fn obtain(
     state: &EntryState,
     own: SocketAddr,
-    word: LimitWord,
+    word: LimitReport,
     wanted: u32,
 ) -> Option<LimitGrant> {
     let mut entry = granting(state, own, word.incarnation);
--- a/crates/direct/src/spread.rs
+++ b/crates/direct/src/spread.rs
@@ -8,7 +8,9 @@
 use crate::decision_log::DecisionLog;
 use crate::exchange;
 use crate::state::EntryState;
-use hickorycross_core::direct::{BootMs, LimitWord, QuietWord, RequestWord, Seen, WordOutcome};
+use hickorycross_core::direct::{
+    BootMs, LimitReport, QuietReport, ReportOutcome, RequestObservation, RequestReport,
+};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -37,11 +39,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum SharedWord {
     /// What was seen of a request.
-    Request(RequestWord),
+    Request(RequestReport),
     /// What a backend server in need takes.
-    Limit(LimitWord),
+    Limit(LimitReport),
     /// A rank from which nothing comes.
-    Quiet(QuietWord),
+    Quiet(QuietReport),
 }
 
 impl SharedWord {
@@ -49,13 +51,13 @@
     const fn aged(self, span_ms: u64) -> Self {
         match self {
             Self::Request(word) => {
-                Self::Request(RequestWord { age_ms: word.age_ms.saturating_add(span_ms), ..word })
+                Self::Request(RequestReport { age_ms: word.age_ms.saturating_add(span_ms), ..word })
             }
             Self::Limit(word) => {
-                Self::Limit(LimitWord { age_ms: word.age_ms.saturating_add(span_ms), ..word })
+                Self::Limit(LimitReport { age_ms: word.age_ms.saturating_add(span_ms), ..word })
             }
             Self::Quiet(word) => {
-                Self::Quiet(QuietWord { age_ms: word.age_ms.saturating_add(span_ms), ..word })
+                Self::Quiet(QuietReport { age_ms: word.age_ms.saturating_add(span_ms), ..word })
             }
         }
     }
@@ -130,25 +132,27 @@
     }
 }
 
-fn hear_of_request(state: &EntryState, word: RequestWord, passes_on: bool) {
+fn hear_of_request(state: &EntryState, word: RequestReport, passes_on: bool) {
     let now = boot_now();
     let word_outcome = state.crashes.borrow_mut().note(word, now);
     let outcome = match word_outcome {
-        WordOutcome::Known => return,
-        WordOutcome::New => "heard",
-        WordOutcome::Contradicted => "answered-here",
+        ReportOutcome::Known => return,
+        ReportOutcome::New => "heard",
+        ReportOutcome::Contradicted => "answered-here",
     };
     note_request_word(state, word, outcome);
     let told = match word_outcome {
-        WordOutcome::Contradicted => RequestWord { seen: Seen::Answered, age_ms: 0, ..word },
+        ReportOutcome::Contradicted => {
+            RequestReport { seen: RequestObservation::Answered, age_ms: 0, ..word }
+        }
         _ => word,
     };
-    if passes_on || word_outcome == WordOutcome::Contradicted {
+    if passes_on || word_outcome == ReportOutcome::Contradicted {
         state.outbox.add(SharedWord::Request(told), now);
     }
 }
 
-fn hear_of_limit(state: &EntryState, word: LimitWord, passes_on: bool) {
+fn hear_of_limit(state: &EntryState, word: LimitReport, passes_on: bool) {
     let now = boot_now();
     if !state.limits.borrow_mut().note(word, now) {
         return;
@@ -159,21 +163,21 @@
     }
 }
 
-fn hear_of_quiet(state: &EntryState, word: QuietWord) {
+fn hear_of_quiet(state: &EntryState, word: QuietReport) {
     if state.backends.borrow_mut().note_told_quiet(word, boot_now()) {
         tell_quiet(state, word, "quiet");
     }
 }
 
 /// Passes a word on for a rank that was found quiet, and says so.
-pub(crate) fn tell_quiet(state: &EntryState, word: QuietWord, outcome: &'static str) {
+pub(crate) fn tell_quiet(state: &EntryState, word: QuietReport, outcome: &'static str) {
     let line = DecisionLog::fields("backend-server").with("address", word.address);
     state.log.note(line.with("age_ms", word.age_ms).with("outcome", outcome));
     state.outbox.add(SharedWord::Quiet(word), boot_now());
 }
 
 /// Says what a backend server takes; `id` names the one that said so to this entry itself.
-pub(crate) fn note_limit_word(state: &EntryState, word: LimitWord, id: Option<&str>) {
+pub(crate) fn note_limit_word(state: &EntryState, word: LimitReport, id: Option<&str>) {
     let line = DecisionLog::fields("backend-server").with_some("incarnation", id);
     let line = line.with("backend_digest", word.incarnation).with("age_ms", word.age_ms);
     let line = line.with_some("limit_millirequests_per_s", word.millirequests_per_s);
@@ -182,16 +186,16 @@
 }
 
 /// Says what is believed of a request under which a backend server is said to have ended.
-pub(crate) fn note_request_word(state: &EntryState, word: RequestWord, outcome: &'static str) {
+pub(crate) fn note_request_word(state: &EntryState, word: RequestReport, outcome: &'static str) {
     let crashes = state.crashes.borrow();
     metrics::gauge!("hickorycross_requests_refused_for_crashes").set(crashes.refused() as f64);
     let line = DecisionLog::fields("request-word").with("digest", word.digest);
     let line = match word.seen {
-        Seen::BackendEnded { incarnation, had_begun } => {
+        RequestObservation::BackendEnded { incarnation, had_begun } => {
             let line = line.with("backend_digest", incarnation);
             line.with("had_begun", had_begun)
         }
-        Seen::Answered => line.with("answered", true),
+        RequestObservation::Answered => line.with("answered", true),
     };
     let line = line.with("age_ms", word.age_ms);
     let line = line.with("ended_under_it", crashes.ended_under(word.digest));
--- a/crates/direct/src/state.rs
+++ b/crates/direct/src/state.rs
@@ -10,9 +10,9 @@
 use crate::spread::{Outbox, SharedWord};
 use crate::wire_names::WireNames;
 use hickorycross_core::direct::{
-    Admission, AdmissionSettings, AllowanceSettings, BackendTable, BootMs, CatalogBelief,
-    CrashTable, FirstDeadlines, GroupOutlook, LimitGrants, LimitPermits, NamedLimits, Passes,
-    PeerTable, RetryAllowance, key_bound_ms,
+    Admission, AdmissionSettings, BackendLimits, BackendTable, BootMs, CatalogState, CrashTable,
+    GroupAvailability, InitialTimeouts, LimitGrants, LimitPermits, PassTracker, PeerTable,
+    RetryBudget, RetryBudgetSettings, max_catalog_age_for_keys_ms,
 };
 use indexmap::IndexMap;
 use rand::SeedableRng;
@@ -81,13 +81,13 @@
     pub(crate) settings: RefCell<ProcessSettings>,
     pub(crate) names: WireNames,
     pub(crate) log: DecisionLog,
-    pub(crate) catalog: RefCell<CatalogBelief>,
+    pub(crate) catalog: RefCell<CatalogState>,
     pub(crate) backends: RefCell<BackendTable>,
     /// The store's revision of the list of backend servers.
     pub(crate) backends_as_of: Cell<u64>,
     /// Entries of backend servers that could not be read, and the fault that was said.
     pub(crate) unreadable_backends: RefCell<IndexMap<String, String>>,
-    pub(crate) allowance: RefCell<RetryAllowance>,
+    pub(crate) allowance: RefCell<RetryBudget>,
     pub(crate) admission: RefCell<Admission>,
     pub(crate) peers: RefCell<PeerTable>,
     /// Whether a peer has answered, or none did that was known at the start.
@@ -97,7 +97,7 @@
     /// Backend servers that may just have ended under requests.
     pub(crate) suspicions: Suspicions,
     /// What backend servers in need take.
-    pub(crate) limits: RefCell<NamedLimits>,
+    pub(crate) limits: RefCell<BackendLimits>,
     /// What this entry grants of that to all.
     pub(crate) limit_grants: RefCell<LimitGrants>,
     /// What this entry was granted.
@@ -110,11 +110,11 @@
     pub(crate) outbox: Outbox,
     pub(crate) random: RefCell<ChaCha8Rng>,
     /// Whether the groups of a service make passes.
-    pub(crate) outlooks: RefCell<IndexMap<String, GroupOutlook>>,
+    pub(crate) outlooks: RefCell<IndexMap<String, GroupAvailability>>,
     /// How much time callers of a route give their requests.
-    pub(crate) first_deadlines: RefCell<IndexMap<String, FirstDeadlines>>,
+    pub(crate) first_deadlines: RefCell<IndexMap<String, InitialTimeouts>>,
     /// How the streams of a service go on.
-    pub(crate) passes: RefCell<IndexMap<String, Passes>>,
+    pub(crate) passes: RefCell<IndexMap<String, PassTracker>>,
     /// Requests that wait and were not sent yet.
     pub(crate) unsent: Unsent,
     /// Told whenever a request to a backend server ends.
@@ -134,7 +134,7 @@
     pub(crate) fn new(settings: ProcessSettings, names: WireNames, log: DecisionLog) -> Rc<Self> {
         let backends = BackendTable::new(&settings.failure_domain);
         let peers = PeerTable::new(&settings.seeds, settings.listen.control);
-        let allowance = RetryAllowance::new(allowance_of(&settings, 0));
+        let allowance = RetryBudget::new(allowance_of(&settings, 0));
         Rc::new(Self {
             settings: RefCell::new(settings),
             names,
@@ -173,7 +173,7 @@
     /// Whether keys may be judged by the catalog in force.
     pub(crate) fn keys_are_fresh(&self, now: BootMs) -> bool {
         let revoke_ms = self.settings.borrow().bounds.revoke_ms;
-        self.catalog.borrow().is_fresh(now, key_bound_ms(revoke_ms, CATALOG_WAIT_MS))
+        self.catalog.borrow().is_fresh(now, max_catalog_age_for_keys_ms(revoke_ms, CATALOG_WAIT_MS))
     }
 
     /// Whether a configuration and backend servers are known, callers' keys can be judged, and peers were
@@ -235,9 +235,9 @@
     }
 }
 
-fn allowance_of(settings: &ProcessSettings, peers: usize) -> AllowanceSettings {
+fn allowance_of(settings: &ProcessSettings, peers: usize) -> RetryBudgetSettings {
     let entries = (peers + 1).max(LEAST_ENTRIES) as f64;
-    AllowanceSettings {
+    RetryBudgetSettings {
         window_ms: settings.bounds.retry_window_ms,
         ratio: settings.bounds.retry_ratio * BUDGET_PART,
         slack: settings.bounds.retry_slack * BUDGET_PART / entries,
