--- a/crates/core/src/direct/admission.rs
+++ b/crates/core/src/direct/admission.rs
@@ -15,15 +15,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionSettings {
     /// Requests that are always let through, at this entry and for each service.
-    pub least_requests: f64,
+    pub min_requests: f64,
     /// Part of all slots of a group that one entry's bound may reach, against an even split.
-    pub most_part: f64,
+    pub max_share: f64,
     /// Share by which the bound shrinks when an answer paused for too long.
-    pub shrink: f64,
+    pub decrease_ratio: f64,
     /// Requests by which the bound grows with each answer that kept its pace.
-    pub grow_requests: f64,
-    /// Pause after a shrink in which no further one is made, so that one slow moment counts once.
-    pub settle_ms: u64,
+    pub increase_requests: f64,
+    /// Pause after a decrease_ratio in which no further one is made, so that one slow moment counts once.
+    pub decrease_interval_ms: u64,
 }
 
 /// An adaptive bound on open requests, by service.
@@ -54,15 +54,15 @@
     /// Whether one more request may be sent while `open` are open, `share` would fill this entry's part
     /// of the slots, and the request may take `part` of that.
     pub fn admits(&mut self, service: &str, open: u32, share: f64, part: f64) -> bool {
-        let AdmissionSettings { least_requests: least, most_part, .. } = self.settings;
-        let most = share * most_part;
+        let AdmissionSettings { min_requests: least, max_share, .. } = self.settings;
+        let most = share * max_share;
         let bound = self.bound(service, most);
         bound.requests = bound.requests.clamp(least, most.max(least));
         f64::from(open) < bound.requests.min((share * part).max(least))
     }
 
     /// Notes the first event of an answer, `took_ms` after its request was sent.
-    pub fn note_first(&mut self, service: &str, took_ms: u64, now: BootMs) {
+    pub fn note_first_event(&mut self, service: &str, took_ms: u64, now: BootMs) {
         self.note_pace(service, took_ms <= SLOW_FIRST_MS, now);
     }
 
@@ -75,7 +75,7 @@
     ///
     /// Only answers tell of a group's pace otherwise. Of requests that never begin nothing would be heard, and
     /// ever more would be sent to lie in queues until their callers leave.
-    pub fn note_unbegun(&mut self, service: &str, waited_ms: u64, now: BootMs) {
+    pub fn note_not_begun(&mut self, service: &str, waited_ms: u64, now: BootMs) {
         if waited_ms > SLOW_FIRST_MS {
             self.note_pace(service, false, now);
         }
@@ -83,19 +83,20 @@
 
     /// Notes how an answer kept its pace.
     pub fn note_pace(&mut self, service: &str, kept: bool, now: BootMs) {
-        let AdmissionSettings { shrink, grow_requests, settle_ms, .. } = self.settings;
+        let AdmissionSettings { decrease_ratio, increase_requests, decrease_interval_ms, .. } =
+            self.settings;
         let Some(bound) = self.services.get_mut(service) else { return };
         if kept {
-            bound.requests += grow_requests;
+            bound.requests += increase_requests;
         } else if bound.settled_at <= now {
-            bound.requests *= 1.0 - shrink;
-            bound.settled_at = now.after(settle_ms);
+            bound.requests *= 1.0 - decrease_ratio;
+            bound.settled_at = now.after(decrease_interval_ms);
         }
     }
 
     /// The present bound of a service, in requests.
     #[must_use]
-    pub fn bound_requests(&self, service: &str) -> Option<f64> {
+    pub fn limit_requests(&self, service: &str) -> Option<f64> {
         self.services.get(service).map(|bound| bound.requests)
     }
 
--- a/crates/core/src/direct/backend_limits.rs
+++ b/crates/core/src/direct/backend_limits.rs
@@ -9,7 +9,7 @@
 const KEPT_MS: u64 = 600_000;
 
 /// Words kept at most: more backend servers in need than a fleet could do without.
-const MOST_WORDS: usize = 256;
+const MAX_REPORTS: usize = 256;
 
 /// Change of a limit that others need not be told at once, as a divisor of the limit.
 const SLIGHT_DIVISOR: u64 = 20;
@@ -28,11 +28,11 @@
 /// The newest word of each backend server that has named a limit.
 #[derive(Clone, Debug, Default)]
 pub struct BackendLimits {
-    words: IndexMap<IncarnationDigest, Said>,
+    reports: IndexMap<IncarnationDigest, Announced>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Said {
+struct Announced {
     millirequests_per_s: Option<u64>,
     at: BootMs,
 }
@@ -41,21 +41,21 @@
     /// Takes note of a word. Returns whether it changes what is believed so much that others are to be told.
     ///
     /// That one takes whatever comes says nothing new unless it had named a limit.
-    pub fn note(&mut self, word: LimitReport, now: BootMs) -> bool {
-        let LimitReport { incarnation, millirequests_per_s, age_ms } = word;
-        let said = Said { millirequests_per_s, at: now.before(age_ms) };
-        match self.words.get_mut(&incarnation) {
-            Some(known) if known.at > said.at => false,
+    pub fn note(&mut self, report: LimitReport, now: BootMs) -> bool {
+        let LimitReport { incarnation, millirequests_per_s, age_ms } = report;
+        let announced = Announced { millirequests_per_s, at: now.before(age_ms) };
+        match self.reports.get_mut(&incarnation) {
+            Some(known) if known.at > announced.at => false,
             Some(known) => {
                 let is_change = !is_about(known.millirequests_per_s, millirequests_per_s);
                 // Slight changes must not add up unheard of.
                 let kept = if is_change { millirequests_per_s } else { known.millirequests_per_s };
-                *known = Said { millirequests_per_s: kept, at: said.at };
+                *known = Announced { millirequests_per_s: kept, at: announced.at };
                 is_change
             }
             None if millirequests_per_s.is_some() && age_ms < KEPT_MS => {
                 self.make_room();
-                self.words.insert(incarnation, said);
+                self.reports.insert(incarnation, announced);
                 true
             }
             None => false,
@@ -66,52 +66,56 @@
     /// if it has named no limit.
     #[must_use]
     pub fn millirequests_per_s(&self, incarnation: IncarnationDigest) -> Option<u64> {
-        self.words.get(&incarnation)?.millirequests_per_s
+        self.reports.get(&incarnation)?.millirequests_per_s
     }
 
     /// The newest word of a backend server that has named a limit at some time.
     #[must_use]
-    pub fn word(&self, incarnation: IncarnationDigest, now: BootMs) -> Option<LimitReport> {
-        self.words.get(&incarnation).map(|said| said.word(incarnation, now))
+    pub fn report(&self, incarnation: IncarnationDigest, now: BootMs) -> Option<LimitReport> {
+        self.reports.get(&incarnation).map(|announced| announced.report(incarnation, now))
     }
 
     /// Whether no backend server is limited.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.words.values().all(|said| said.millirequests_per_s.is_none())
+        self.reports.values().all(|announced| announced.millirequests_per_s.is_none())
     }
 
     /// Everything that is known, for an entry that may lack some of it.
     #[must_use]
-    pub fn words(&self, now: BootMs) -> Vec<LimitReport> {
-        self.words.iter().map(|(incarnation, said)| said.word(*incarnation, now)).collect()
+    pub fn reports(&self, now: BootMs) -> Vec<LimitReport> {
+        self.reports
+            .iter()
+            .map(|(incarnation, announced)| announced.report(*incarnation, now))
+            .collect()
     }
 
     /// A sum over the limits that hold, the same at entries that know the same ones.
     #[must_use]
-    pub fn sum(&self) -> u64 {
-        let limited = self.words.iter().filter(|(_, said)| said.millirequests_per_s.is_some());
+    pub fn checksum(&self) -> u64 {
+        let limited =
+            self.reports.iter().filter(|(_, announced)| announced.millirequests_per_s.is_some());
         limited.fold(0, |sum, (incarnation, _)| sum ^ xxh3_64(&incarnation.0.to_le_bytes()))
     }
 
     /// Forgets words that are too old.
     pub fn expire(&mut self, now: BootMs) {
-        self.words.retain(|_, said| now.since(said.at) < KEPT_MS);
+        self.reports.retain(|_, announced| now.since(announced.at) < KEPT_MS);
     }
 
     fn make_room(&mut self) {
-        if self.words.len() < MOST_WORDS {
+        if self.reports.len() < MAX_REPORTS {
             return;
         }
-        let oldest = self.words.iter().min_by_key(|(_, said)| said.at);
+        let oldest = self.reports.iter().min_by_key(|(_, announced)| announced.at);
         if let Some(oldest) = oldest.map(|(incarnation, _)| *incarnation) {
-            self.words.swap_remove(&oldest);
+            self.reports.swap_remove(&oldest);
         }
     }
 }
 
-impl Said {
-    const fn word(self, incarnation: IncarnationDigest, now: BootMs) -> LimitReport {
+impl Announced {
+    const fn report(self, incarnation: IncarnationDigest, now: BootMs) -> LimitReport {
         let Self { millirequests_per_s, at } = self;
         LimitReport { incarnation, millirequests_per_s, age_ms: now.since(at) }
     }
--- a/crates/core/src/direct/backend_table.rs
+++ b/crates/core/src/direct/backend_table.rs
@@ -36,7 +36,7 @@
 
 /// Time for which it is believed that the agent beside a backend server is not heard. The agent that leads
 /// says it again well before; one that is gone must not keep work away for good.
-const UNHEARD_KEPT_MS: u64 = 3_000;
+const AGENT_UNREACHABLE_KEPT_MS: u64 = 3_000;
 
 /// Whether a backend server takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -104,7 +104,7 @@
     pub(super) paused_until: BootMs,
     pace_permille: u32,
     pace_until: BootMs,
-    unheard_until: BootMs,
+    agent_unreachable_until: BootMs,
 }
 
 /// All backend servers, by incarnation.
@@ -270,10 +270,10 @@
 
     /// Notes whether the agent beside the backend server at `address` is heard by the one that leads their
     /// group.
-    pub fn note_hearing(&mut self, address: SocketAddr, is_heard: bool, now: BootMs) {
-        let until = if is_heard { now } else { now.after(UNHEARD_KEPT_MS) };
+    pub fn note_agent_reachable(&mut self, address: SocketAddr, is_reachable: bool, now: BootMs) {
+        let until = if is_reachable { now } else { now.after(AGENT_UNREACHABLE_KEPT_MS) };
         for row in self.rows.values_mut().filter(|row| row.server.address == address) {
-            row.unheard_until = until;
+            row.agent_unreachable_until = until;
         }
     }
 
@@ -370,8 +370,8 @@
     }
 
     /// Whether the agent beside it is not heard, as far as is known.
-    pub(super) fn is_unheard(&self, now: BootMs) -> bool {
-        self.unheard_until > now
+    pub(super) fn is_agent_unreachable(&self, now: BootMs) -> bool {
+        self.agent_unreachable_until > now
     }
 
     fn takes_work(&self) -> bool {
@@ -389,7 +389,7 @@
             paused_until: BootMs(0),
             pace_permille: USUAL_PACE_PERMILLE,
             pace_until: BootMs(0),
-            unheard_until: BootMs(0),
+            agent_unreachable_until: BootMs(0),
         }
     }
 }
--- a/crates/core/src/direct/crash_table.rs
+++ b/crates/core/src/direct/crash_table.rs
@@ -119,8 +119,8 @@
 
 impl CrashTable {
     /// Takes note of what this entry has seen, or another one says, of a request.
-    pub fn note(&mut self, word: RequestReport, now: BootMs) -> ReportOutcome {
-        let RequestReport { digest, seen, age_ms } = word;
+    pub fn note(&mut self, report: RequestReport, now: BootMs) -> ReportOutcome {
+        let RequestReport { digest, seen, age_ms } = report;
         if age_ms >= KEPT_MS {
             return ReportOutcome::Known;
         }
@@ -213,25 +213,25 @@
 
     /// Backend servers that have ended under a request.
     #[must_use]
-    pub fn ended_under(&self, digest: RequestDigest) -> usize {
+    pub fn ended_server_count(&self, digest: RequestDigest) -> usize {
         self.records.get(&digest).map_or(0, |record| record.ended.len())
     }
 
     /// Requests that are refused.
     #[must_use]
-    pub fn refused(&self) -> usize {
+    pub fn refused_count(&self) -> usize {
         self.records.values().filter(|record| record.is_refused()).count()
     }
 
     /// Everything that is known, for an entry that may lack some of it.
     #[must_use]
-    pub fn words(&self, now: BootMs) -> Vec<RequestReport> {
-        self.records.iter().flat_map(|(digest, record)| record.words(*digest, now)).collect()
+    pub fn reports(&self, now: BootMs) -> Vec<RequestReport> {
+        self.records.iter().flat_map(|(digest, record)| record.reports(*digest, now)).collect()
     }
 
     /// A sum over what is known that is the same at entries that know the same.
     #[must_use]
-    pub fn sum(&self) -> u64 {
+    pub fn checksum(&self) -> u64 {
         let ends = self.records.iter().flat_map(|(digest, record)| {
             record.certain().map(|(incarnation, end)| (*digest, *incarnation, end.had_begun))
         });
@@ -291,7 +291,7 @@
         self.ended.values().map(weight).sum::<u32>() >= MOST_ENDED * BEGUN_WEIGHT
     }
 
-    fn words(&self, digest: RequestDigest, now: BootMs) -> impl Iterator<Item = RequestReport> {
+    fn reports(&self, digest: RequestDigest, now: BootMs) -> impl Iterator<Item = RequestReport> {
         let ends = self.certain().map(move |(incarnation, end)| RequestReport {
             digest,
             seen: RequestObservation::BackendEnded {
--- a/crates/core/src/direct/event_splitter.rs
+++ b/crates/core/src/direct/event_splitter.rs
@@ -36,7 +36,7 @@
 
     /// Bytes of an event that is not whole.
     #[must_use]
-    pub fn torn_bytes(&self) -> usize {
+    pub fn incomplete_bytes(&self) -> usize {
         self.pending.len()
     }
 }
--- a/crates/core/src/direct/group_availability.rs
+++ b/crates/core/src/direct/group_availability.rs
@@ -9,7 +9,7 @@
 use super::BootMs;
 
 /// Time without an event of any open stream from which a group counts as standing: several slow passes.
-const STANDING_MS: u64 = 500;
+const NO_EVENT_MS: u64 = 500;
 
 /// Pause between requests that are sent to see whether a group that turns requests away is back. Each
 /// costs a try of one caller; a caller's first event is late by this much at most.
@@ -52,7 +52,7 @@
     /// The group stands.
     Unavailable {
         /// When it is expected back.
-        back_at: BootMs,
+        expected_back_at: BootMs,
         /// When to ask again.
         retry_at: BootMs,
     },
@@ -88,7 +88,7 @@
 
     /// Notes that a request was neither answered nor turned away for a moment: a group that is broken
     /// turns requests away at once.
-    pub const fn note_taken(&mut self, now: BootMs) {
+    pub const fn note_accepted(&mut self, now: BootMs) {
         if self.broken_at.is_some() {
             self.note_back(now);
             self.waiting_since = Some(now);
@@ -115,7 +115,7 @@
     /// slot, and whoever comes then is late too, for 2 s and more. But a fresh request that waits is late at
     /// worst, and a late one whose caller leaves is lost, so those that have waited for long leave no room.
     #[must_use]
-    pub fn late_part(&self, now: BootMs, patience_used: f64) -> f64 {
+    pub fn late_share(&self, now: BootMs, patience_used: f64) -> f64 {
         let recovered_part = self.recovered_part(now);
         let first_part = FIRST_LATE_PART + (1.0 - FIRST_LATE_PART) * recovered_part;
         first_part.max(patience_used / LATE_PATIENCE_PART).min(1.0)
@@ -130,7 +130,7 @@
     /// Notes that a rank turned a request away. Returns whether the group stands, rather than that one
     /// rank is full.
     pub fn note_rejected(&mut self, now: BootMs) -> bool {
-        let makes_passes = self.newest_event_at.is_some_and(|at| now.since(at) <= STANDING_MS);
+        let makes_passes = self.newest_event_at.is_some_and(|at| now.since(at) <= NO_EVENT_MS);
         if !makes_passes && self.broken_at.is_none() {
             self.broken_at = Some(now);
             self.probe_at = now.after(PROBE_MS);
@@ -139,31 +139,46 @@
     }
 
     /// Whether one more request may be sent while `open` are open.
-    pub fn passage(&mut self, now: BootMs, open: u32, outage: OutageDurations) -> SendPermission {
-        let Some((back_at, pause_ms)) = self.standing(now, open, outage) else {
+    pub fn send_permission(
+        &mut self,
+        now: BootMs,
+        open: u32,
+        outage: OutageDurations,
+    ) -> SendPermission {
+        let Some((expected_back_at, pause_ms)) = self.unavailability(now, open, outage) else {
             return SendPermission::Allowed;
         };
         if now >= self.probe_at {
             self.probe_at = now.after(pause_ms);
             return SendPermission::Probe;
         }
-        SendPermission::Unavailable { back_at, retry_at: self.probe_at }
+        SendPermission::Unavailable { expected_back_at, retry_at: self.probe_at }
     }
 
     /// When a group that stands is expected back; nothing when it makes passes as far as is known.
     #[must_use]
-    pub fn back_at(&self, now: BootMs, open: u32, outage: OutageDurations) -> Option<BootMs> {
-        self.standing(now, open, outage).map(|(back_at, _)| back_at)
+    pub fn expected_back_at(
+        &self,
+        now: BootMs,
+        open: u32,
+        outage: OutageDurations,
+    ) -> Option<BootMs> {
+        self.unavailability(now, open, outage).map(|(expected_back_at, _)| expected_back_at)
     }
 
     /// When a group that stands is expected back, and the pause between probes.
-    fn standing(&self, now: BootMs, open: u32, outage: OutageDurations) -> Option<(BootMs, u64)> {
+    fn unavailability(
+        &self,
+        now: BootMs,
+        open: u32,
+        outage: OutageDurations,
+    ) -> Option<(BootMs, u64)> {
         let OutageDurations { stall_ms, forming_ms } = outage;
         if let Some(broken_at) = self.broken_at {
             return Some((expected(now, broken_at, forming_ms), PROBE_MS));
         }
         let since = self.newest_event_at.max(self.waiting_since)?;
-        let is_stalled = open > 0 && now.since(since) > STANDING_MS;
+        let is_stalled = open > 0 && now.since(since) > NO_EVENT_MS;
         is_stalled.then(|| (expected(now, since, stall_ms + forming_ms), STALLED_PROBE_MS))
     }
 }
--- a/crates/core/src/direct/limit_shares.rs
+++ b/crates/core/src/direct/limit_shares.rs
@@ -143,13 +143,13 @@
 impl LimitPermits {
     /// Whether a request may be sent to a backend server that is limited.
     #[must_use]
-    pub fn has_one(&self, incarnation: IncarnationDigest, now: BootMs) -> bool {
+    pub fn has_permit(&self, incarnation: IncarnationDigest, now: BootMs) -> bool {
         let held = self.held.get(&incarnation);
         held.is_some_and(|held| held.permits > 0 && now < held.valid_until)
     }
 
     /// Uses one permit up.
-    pub fn take(&mut self, incarnation: IncarnationDigest) {
+    pub fn use_permit(&mut self, incarnation: IncarnationDigest) {
         if let Some(held) = self.held.get_mut(&incarnation) {
             held.permits = held.permits.saturating_sub(1);
         }
@@ -158,7 +158,7 @@
     /// Notes that a request goes elsewhere for want of a permit. Returns how many to ask for, if that is due;
     /// until the answer comes nothing more is.
     #[must_use]
-    pub fn note_missed(&mut self, incarnation: IncarnationDigest, now: BootMs) -> Option<u32> {
+    pub fn note_denied(&mut self, incarnation: IncarnationDigest, now: BootMs) -> Option<u32> {
         let held = self.held.entry(incarnation).or_default();
         held.missed = held.missed.saturating_add(1).min(MOST_WANTED);
         if now < held.ask_at {
--- a/crates/core/src/direct/peer_table.rs
+++ b/crates/core/src/direct/peer_table.rs
@@ -15,7 +15,7 @@
 
 /// Span without word after which a peer no longer counts as one among whom something is split. One that was
 /// taken away would otherwise keep its part for as long as it is remembered.
-const LIVING_MS: u64 = 25_000;
+const LIVE_MS: u64 = 25_000;
 
 /// Most peers kept: more than the entries of a large fleet (400).
 const MOST_PEERS: usize = 512;
@@ -26,7 +26,7 @@
     /// Where it answers.
     pub address: SocketAddr,
     /// When it was last heard of, here or by whoever named it.
-    pub heard_at: BootMs,
+    pub last_seen_at: BootMs,
 }
 
 /// Peers by address, beside the fixed seeds.
@@ -49,25 +49,25 @@
         self.seeds = seeds.to_vec();
     }
 
-    /// Notes that a peer lived at `heard_at`; returns whether it was not known.
-    pub fn note(&mut self, address: SocketAddr, heard_at: BootMs) -> bool {
+    /// Notes that a peer lived at `last_seen_at`; returns whether it was not known.
+    pub fn note(&mut self, address: SocketAddr, last_seen_at: BootMs) -> bool {
         if Some(address) == self.own {
             return false;
         }
         if let Some(peer) = self.peers.get_mut(&address) {
-            peer.heard_at = peer.heard_at.max(heard_at);
+            peer.last_seen_at = peer.last_seen_at.max(last_seen_at);
             return false;
         }
         if self.peers.len() >= MOST_PEERS {
             return false;
         }
-        self.peers.insert(address, Peer { address, heard_at });
+        self.peers.insert(address, Peer { address, last_seen_at });
         true
     }
 
     /// Drops peers without word; returns them.
     pub fn expire(&mut self, now: BootMs) -> Vec<SocketAddr> {
-        let is_old = |peer: &Peer| now.since(peer.heard_at) > FORGET_AFTER_MS;
+        let is_old = |peer: &Peer| now.since(peer.last_seen_at) > FORGET_AFTER_MS;
         let old = self.peers.values().filter(|peer| is_old(peer)).map(|peer| peer.address);
         let old: Vec<SocketAddr> = old.collect();
         self.peers.retain(|_, peer| !is_old(peer));
@@ -84,17 +84,17 @@
     /// Each process is heard of directly by one other in each round. What is named to others has to travel from
     /// there before it is forgotten; the same ones each time would leave the others unknown.
     #[must_use]
-    pub fn latest(&self, count: usize) -> Vec<Peer> {
+    pub fn most_recent(&self, count: usize) -> Vec<Peer> {
         let mut peers: Vec<Peer> = self.peers.values().copied().collect();
-        peers.sort_unstable_by_key(|peer| Reverse(peer.heard_at));
+        peers.sort_unstable_by_key(|peer| Reverse(peer.last_seen_at));
         peers.truncate(count);
         peers
     }
 
     /// Number of peers that live, as far as is known.
     #[must_use]
-    pub fn living(&self, now: BootMs) -> usize {
-        let is_living = |peer: &&Peer| now.since(peer.heard_at) <= LIVING_MS;
+    pub fn live_count(&self, now: BootMs) -> usize {
+        let is_living = |peer: &&Peer| now.since(peer.last_seen_at) <= LIVE_MS;
         self.peers.values().filter(is_living).count()
     }
 
@@ -120,7 +120,7 @@
 
     /// So many of them at random, or all if they are fewer.
     #[must_use]
-    pub fn draw(&self, count: usize, random: &mut impl Rng) -> Vec<SocketAddr> {
+    pub fn sample(&self, count: usize, random: &mut impl Rng) -> Vec<SocketAddr> {
         self.candidates().into_iter().sample(random, count)
     }
 
@@ -129,7 +129,7 @@
     /// By turns all processes that were started together would ask the same peer at the same time, and what
     /// is heard of one of them would not reach the others before it is forgotten.
     #[must_use]
-    pub fn next_to_ask(&self, random: &mut impl Rng) -> Option<SocketAddr> {
-        self.draw(1, random).pop()
+    pub fn random_peer(&self, random: &mut impl Rng) -> Option<SocketAddr> {
+        self.sample(1, random).pop()
     }
 }
--- a/crates/core/src/direct/quiet_ranks.rs
+++ b/crates/core/src/direct/quiet_ranks.rs
@@ -64,7 +64,7 @@
     }
 
     /// Counts the first event of a stream.
-    pub fn note_begun(&mut self, server: &BackendServer) {
+    pub fn note_stream_begun(&mut self, server: &BackendServer) {
         if let Some(row) = self.row_of(server) {
             row.streams.unbegun = row.streams.unbegun.saturating_sub(1);
             row.streams.begun += 1;
@@ -98,7 +98,7 @@
     /// told.
     ///
     /// As its streams leave there is ever less to tell a quiet rank by, and new work would be sent there.
-    pub fn note_silent(&mut self, server: &BackendServer, now: BootMs) -> Option<QuietReport> {
+    pub fn note_timed_out(&mut self, server: &BackendServer, now: BootMs) -> Option<QuietReport> {
         let is_quiet = self.row(server).is_some_and(|row| self.is_quiet(row, now));
         let row = self.row_of(server).filter(|_| is_quiet)?;
         let was_known = row.streams.quiet_until > now;
@@ -110,11 +110,11 @@
     ///
     /// An entry with few streams there would find it out too late for its own. One that got an event since then
     /// knows better: only the other's way there is broken.
-    pub fn note_told_quiet(&mut self, word: QuietReport, now: BootMs) -> bool {
-        let found_at = now.before(word.age_ms);
+    pub fn note_quiet_report(&mut self, report: QuietReport, now: BootMs) -> bool {
+        let found_at = now.before(report.age_ms);
         let until = found_at.after(QUIET_KEPT_MS);
         let mut is_news = false;
-        for row in self.rows.values_mut().filter(|row| row.server.address == word.address) {
+        for row in self.rows.values_mut().filter(|row| row.server.address == report.address) {
             let streams = &mut row.streams;
             if streams.event_at < found_at && streams.quiet_until <= now && until > now {
                 streams.quiet_until = until;
--- a/crates/core/src/direct/retry_budget.rs
+++ b/crates/core/src/direct/retry_budget.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, Default)]
 struct Sends {
     first: VecDeque<BootMs>,
-    second: VecDeque<BootMs>,
+    retries: VecDeque<BootMs>,
 }
 
 impl RetryBudget {
@@ -45,34 +45,34 @@
     }
 
     /// Counts a request for a service.
-    pub fn note_first(&mut self, now: BootMs, service: &str) {
+    pub fn note_first_send(&mut self, now: BootMs, service: &str) {
         let sends = self.sends(now, service);
         sends.first.push_back(now);
     }
 
     /// Takes one second send out of the budget; says whether there was one left.
     #[must_use]
-    pub fn take(&mut self, now: BootMs, service: &str) -> bool {
-        let has_one = self.has_one(now, service);
-        if has_one {
-            self.sends(now, service).second.push_back(now);
+    pub fn try_spend(&mut self, now: BootMs, service: &str) -> bool {
+        let allows_retry = self.allows_retry(now, service);
+        if allows_retry {
+            self.sends(now, service).retries.push_back(now);
         }
-        has_one
+        allows_retry
     }
 
     /// Whether a second send is left in the budget.
     #[must_use]
-    pub fn has_one(&mut self, now: BootMs, service: &str) -> bool {
+    pub fn allows_retry(&mut self, now: BootMs, service: &str) -> bool {
         let RetryBudgetSettings { ratio, slack, .. } = self.settings;
         let sends = self.sends(now, service);
         let allowed = ratio * sends.first.len() as f64 + slack;
-        sends.second.len() as f64 + 1.0 <= allowed
+        sends.retries.len() as f64 + 1.0 <= allowed
     }
 
     /// Second sends in the present window.
     #[must_use]
-    pub fn spent(&self, service: &str) -> usize {
-        self.services.get(service).map_or(0, |sends| sends.second.len())
+    pub fn retry_count(&self, service: &str) -> usize {
+        self.services.get(service).map_or(0, |sends| sends.retries.len())
     }
 
     fn sends(&mut self, now: BootMs, service: &str) -> &mut Sends {
@@ -81,7 +81,7 @@
         }
         let begin = now.before(self.settings.window_ms);
         let sends = &mut self.services[service];
-        for moments in [&mut sends.first, &mut sends.second] {
+        for moments in [&mut sends.first, &mut sends.retries] {
             while moments.front().is_some_and(|at| *at < begin) {
                 moments.pop_front();
             }
--- a/crates/core/src/direct/selection.rs
+++ b/crates/core/src/direct/selection.rs
@@ -109,7 +109,7 @@
 
     /// Whether streams at a backend server should go on elsewhere, because it holds its group up.
     #[must_use]
-    pub fn is_left(&self, server: &BackendServer, now: BootMs) -> bool {
+    pub fn should_move_streams(&self, server: &BackendServer, now: BootMs) -> bool {
         let row = self.row(server);
         row.is_some_and(|row| row.holds_up_its_group(now)) && self.leaves_few(&server.service, now)
     }
@@ -117,9 +117,9 @@
     /// Whether a backend server that says nothing should be given up soon, because nothing is heard of its
     /// machine either, or none of its streams goes on.
     #[must_use]
-    pub fn is_unheard(&self, server: &BackendServer, now: BootMs) -> bool {
+    pub fn should_time_out_early(&self, server: &BackendServer, now: BootMs) -> bool {
         let Some(row) = self.row(server) else { return false };
-        let is_told = row.is_unheard(now) && self.leaves_few(&server.service, now);
+        let is_told = row.is_agent_unreachable(now) && self.leaves_few(&server.service, now);
         is_told || self.is_quiet(row, now)
     }
 
@@ -150,7 +150,7 @@
 
 impl Row {
     fn is_avoided(&self, now: BootMs) -> bool {
-        self.holds_up_its_group(now) || self.is_unheard(now)
+        self.holds_up_its_group(now) || self.is_agent_unreachable(now)
     }
 
     fn holds_up_its_group(&self, now: BootMs) -> bool {
--- a/crates/core/tests/crash_table.rs
+++ b/crates/core/tests/crash_table.rs
@@ -131,12 +131,12 @@
     for case in CASES {
         let (mut one, mut other) = (CrashTable::default(), CrashTable::default());
         case.heard.iter().for_each(|heard| hear(&mut one, *heard));
-        let words = one.words(NOW);
-        for word in words.iter().rev() {
-            let _ = other.note(*word, NOW);
+        let reports = one.reports(NOW);
+        for report in reports.iter().rev() {
+            let _ = other.note(*report, NOW);
         }
         expect_that!(other.is_refused(REQUEST), eq(one.is_refused(REQUEST)), "{}", case.name);
-        expect_that!(other.sum(), eq(one.sum()), "{}", case.name);
+        expect_that!(other.checksum(), eq(one.checksum()), "{}", case.name);
     }
 }
 
@@ -145,13 +145,13 @@
 fn what_is_only_suspected_holds_here_and_is_not_told() {
     let mut table = CrashTable::default();
     [Ended(1), Ended(2)].into_iter().for_each(|heard| hear(&mut table, heard));
-    let (words, sum) = (table.words(NOW), table.sum());
+    let (reports, sum) = (table.reports(NOW), table.checksum());
     expect_true!(table.suspect(REQUEST, IncarnationDigest(3), true, NOW));
     expect_true!(table.is_refused(REQUEST));
-    expect_that!(table.words(NOW), eq(&words));
-    expect_that!(table.sum(), eq(sum));
+    expect_that!(table.reports(NOW), eq(&reports));
+    expect_that!(table.checksum(), eq(sum));
     expect_that!(table.note(ended(3, true, 0), NOW), eq(ReportOutcome::New), "it is certain now");
-    expect_that!(table.words(NOW).len(), eq(words.len() + 1));
+    expect_that!(table.reports(NOW).len(), eq(reports.len() + 1));
 }
 
 /// Guards against one entry's answered request that stays refused at others.
@@ -168,11 +168,11 @@
     let mut table = CrashTable::default();
     [Ended(1), Ended(2), Ended(3)].into_iter().for_each(|heard| hear(&mut table, heard));
     for request in 2..2_000 {
-        let word = RequestReport { digest: RequestDigest(request), ..ended(4, true, 0) };
-        let _ = table.note(word, NOW);
+        let report = RequestReport { digest: RequestDigest(request), ..ended(4, true, 0) };
+        let _ = table.note(report, NOW);
     }
     expect_true!(table.is_refused(REQUEST));
-    expect_that!(table.words(NOW).len(), lt(300));
+    expect_that!(table.reports(NOW).len(), lt(300));
 }
 
 /// Guards against a request that is refused for good, and one that is forgotten while it keeps coming.
--- a/crates/core/tests/direct.rs
+++ b/crates/core/tests/direct.rs
@@ -86,7 +86,7 @@
     name: &'static str,
     pieces: &'static [&'static str],
     ids: &'static [Option<u64>],
-    torn_bytes: usize,
+    incomplete_bytes: usize,
 }
 
 /// Events come out whole, however their bytes arrive.
@@ -97,25 +97,25 @@
             name: "at once",
             pieces: &["id: 1\ndata: a\n\nid: 2\ndata: b\n\n"],
             ids: &[Some(1), Some(2)],
-            torn_bytes: 0,
+            incomplete_bytes: 0,
         },
         CutCase {
             name: "in pieces",
             pieces: &["id: 1\nda", "ta: a\n", "\nid: 2"],
             ids: &[Some(1)],
-            torn_bytes: 5,
+            incomplete_bytes: 5,
         },
         CutCase {
             name: "with a line before the id",
             pieces: &["weights: 7\nid:3\ndata: a\n\n"],
             ids: &[Some(3)],
-            torn_bytes: 0,
+            incomplete_bytes: 0,
         },
         CutCase {
             name: "with other line ends and without an id",
             pieces: &["data: a\r\n\r\n"],
             ids: &[None],
-            torn_bytes: 0,
+            incomplete_bytes: 0,
         },
     ];
     for case in cases {
@@ -130,7 +130,7 @@
             }
         }
         expect_that!(&ids[..], eq(case.ids), "{}", case.name);
-        expect_that!(cutter.torn_bytes(), eq(case.torn_bytes), "{}", case.name);
+        expect_that!(cutter.incomplete_bytes(), eq(case.incomplete_bytes), "{}", case.name);
         expect_true!(case.pieces.concat().starts_with(&bytes), "{}", case.name);
     }
 }
@@ -171,9 +171,9 @@
         for (index, entry) in entries.iter_mut().enumerate() {
             // The load is uneven.
             if at % (index as u64 + 1) == 0 {
-                entry.note_first(now, "svc");
+                entry.note_first_send(now, "svc");
                 first += 1;
-                while entry.take(now, "svc") {
+                while entry.try_spend(now, "svc") {
                     second += 1;
                 }
             }
@@ -182,7 +182,7 @@
     expect_that!(f64::from(second), le(RATIO * f64::from(first) + SLACK));
     expect_that!(f64::from(second), ge(0.9 * RATIO * f64::from(first)), "it is used as well");
     let later = BootMs(30_000);
-    expect_true!(entries[0].take(later, "svc"), "old sends are forgotten");
+    expect_true!(entries[0].try_spend(later, "svc"), "old sends are forgotten");
 }
 
 fn server(id: &str, port: u16, domain: &str) -> BackendServer {
@@ -270,8 +270,17 @@
         }
         let choice = table.choose("svc", &[], BootMs(10), 0.0).map(|choice| choice.server.id);
         expect_that!(choice.as_deref() != Some("r0"), eq(case.is_left), "{}: new work", case.name);
-        expect_that!(table.is_left(&ranks[0], BootMs(10)), eq(case.is_left), "{}", case.name);
-        expect_false!(table.is_left(&ranks[0], BootMs(10_000)), "{}: an old word", case.name);
+        expect_that!(
+            table.should_move_streams(&ranks[0], BootMs(10)),
+            eq(case.is_left),
+            "{}",
+            case.name
+        );
+        expect_false!(
+            table.should_move_streams(&ranks[0], BootMs(10_000)),
+            "{}: an old word",
+            case.name
+        );
     }
 }
 
@@ -305,7 +314,7 @@
         for (index, rank) in (0..).zip(&ranks) {
             table.put(rank.clone());
             if index < case.unheard {
-                table.note_hearing(rank.address, false, BootMs(0));
+                table.note_agent_reachable(rank.address, false, BootMs(0));
             }
             if index > 0 {
                 table.note_sent(rank);
@@ -314,14 +323,18 @@
         let expect_avoided = |at_ms: u64, is_avoided: bool| {
             let choice = table.choose("svc", &[], BootMs(at_ms), 0.0).map(|it| it.server.id);
             expect_that!(choice.as_deref() != Some("r0"), eq(is_avoided), "{}", case.name);
-            expect_that!(table.is_unheard(&ranks[0], BootMs(at_ms)), eq(is_avoided));
+            expect_that!(table.should_time_out_early(&ranks[0], BootMs(at_ms)), eq(is_avoided));
         };
         expect_avoided(10, case.is_avoided);
         expect_avoided(10_000, false);
         let first = ranks[0].address;
-        table.note_hearing(first, false, BootMs(20_000));
-        table.note_hearing(first, true, BootMs(20_100));
-        expect_false!(table.is_unheard(&ranks[0], BootMs(20_200)), "{}: heard again", case.name);
+        table.note_agent_reachable(first, false, BootMs(20_000));
+        table.note_agent_reachable(first, true, BootMs(20_100));
+        expect_false!(
+            table.should_time_out_early(&ranks[0], BootMs(20_200)),
+            "{}: heard again",
+            case.name
+        );
     }
 }
 
@@ -495,13 +508,13 @@
     let address = |port| SocketAddr::from(([10, 0, 0, 1], port));
     let mut peers = PeerTable::new(&[address(1), address(2)], Some(address(1)));
     let mut random = ChaCha8Rng::seed_from_u64(1);
-    expect_that!(peers.next_to_ask(&mut random), some(eq(address(2))), "not oneself");
+    expect_that!(peers.random_peer(&mut random), some(eq(address(2))), "not oneself");
     expect_true!(peers.note(address(3), BootMs(0)));
     expect_false!(peers.note(address(3), BootMs(10)));
     expect_false!(peers.note(address(1), BootMs(0)), "not oneself");
-    let asked: Vec<_> = (0..32).filter_map(|_| peers.next_to_ask(&mut random)).collect();
+    let asked: Vec<_> = (0..32).filter_map(|_| peers.random_peer(&mut random)).collect();
     expect_false!(asked.contains(&address(1)), "not oneself");
     expect_true!(asked.contains(&address(2)) && asked.contains(&address(3)));
     expect_that!(peers.expire(BootMs(70_011)), elements_are![eq(&address(3))]);
-    expect_that!(peers.next_to_ask(&mut random), some(eq(address(2))));
+    expect_that!(peers.random_peer(&mut random), some(eq(address(2))));
 }
--- a/crates/core/tests/direct_outage.rs
+++ b/crates/core/tests/direct_outage.rs
@@ -60,8 +60,8 @@
     ];
     for case in cases {
         let outlook = outlook_at(case.now_ms);
-        let back_at = outlook.back_at(BootMs(case.now_ms), case.open, OUTAGE);
-        expect_that!(back_at, eq(case.back_at_ms.map(BootMs)), "{}", case.name);
+        let expected_back_at = outlook.expected_back_at(BootMs(case.now_ms), case.open, OUTAGE);
+        expect_that!(expected_back_at, eq(case.back_at_ms.map(BootMs)), "{}", case.name);
     }
 }
 
@@ -75,7 +75,7 @@
     let mut outlook = outlook_at(11_500);
     let mut sent = 0;
     for now in (11_500..12_200).step_by(10).map(BootMs) {
-        match outlook.passage(now, 0, OUTAGE) {
+        match outlook.send_permission(now, 0, OUTAGE) {
             SendPermission::Probe => {
                 sent += 1;
                 expect_true!(outlook.note_rejected(now));
@@ -85,8 +85,8 @@
         }
     }
     expect_that!(sent, all!(ge(7), le(9)));
-    outlook.note_taken(BootMs(12_225));
-    expect_that!(outlook.passage(BootMs(12_226), 1, OUTAGE), eq(SendPermission::Allowed));
+    outlook.note_accepted(BootMs(12_225));
+    expect_that!(outlook.send_permission(BootMs(12_226), 1, OUTAGE), eq(SendPermission::Allowed));
 }
 
 /// Symptom: 2 s after a group is back, callers who come fresh are still late.
@@ -98,13 +98,13 @@
 #[gtest]
 fn late_requests_leave_room_after_an_outage() {
     let mut outlook = outlook_at(11_500);
-    expect_that!(outlook.late_part(BootMs(11_600), 0.0), eq(1.0), "not back yet");
+    expect_that!(outlook.late_share(BootMs(11_600), 0.0), eq(1.0), "not back yet");
     outlook.note_event(BootMs(12_200));
-    expect_that!(outlook.late_part(BootMs(12_200), 0.0), near(0.35, 0.01));
-    expect_that!(outlook.late_part(BootMs(12_700), 0.0), near(0.675, 0.01));
-    expect_that!(outlook.late_part(BootMs(13_200), 0.0), eq(1.0));
-    expect_that!(outlook.late_part(BootMs(12_200), 0.25), near(0.5, 0.01));
-    expect_that!(outlook.late_part(BootMs(12_200), 0.5), eq(1.0), "it waits no longer");
+    expect_that!(outlook.late_share(BootMs(12_200), 0.0), near(0.35, 0.01));
+    expect_that!(outlook.late_share(BootMs(12_700), 0.0), near(0.675, 0.01));
+    expect_that!(outlook.late_share(BootMs(13_200), 0.0), eq(1.0));
+    expect_that!(outlook.late_share(BootMs(12_200), 0.25), near(0.5, 0.01));
+    expect_that!(outlook.late_share(BootMs(12_200), 0.5), eq(1.0), "it waits no longer");
 }
 
 /// A group of 63 ranks that has come back, and callers of it.
@@ -156,7 +156,7 @@
                 }
                 let is_late = waited_ms >= route.target_latency_ms;
                 let used = patience_used(&route, came, now);
-                let part = if is_late { outlook.late_part(now, used) } else { 1.0 };
+                let part = if is_late { outlook.late_share(now, used) } else { 1.0 };
                 if ends_ms.len() as f64 >= SLOTS as f64 * part {
                     return true;
                 }
@@ -211,7 +211,7 @@
 fn a_full_rank_is_not_a_broken_group() {
     let mut outlook = outlook_at(10_000);
     expect_false!(outlook.note_rejected(BootMs(10_100)));
-    expect_that!(outlook.passage(BootMs(10_110), 9, OUTAGE), eq(SendPermission::Allowed));
+    expect_that!(outlook.send_permission(BootMs(10_110), 9, OUTAGE), eq(SendPermission::Allowed));
 }
 
 struct ComeBackCase {
--- a/crates/core/tests/direct_random.rs
+++ b/crates/core/tests/direct_random.rs
@@ -50,7 +50,7 @@
         prop_assert_eq!(ids, events.iter().map(|(_, id, _)| *id).collect::<Vec<_>>());
         let whole: Vec<u8> = read.iter().flat_map(|event| event.bytes.to_vec()).collect();
         prop_assert_eq!(&whole[..], &bytes[..bytes.len() - torn.len()]);
-        prop_assert_eq!(cutter.torn_bytes(), torn.len());
+        prop_assert_eq!(cutter.incomplete_bytes(), torn.len());
         Ok(())
     });
     expect_that!(played, ok(anything()));
--- a/crates/core/tests/limit_shares.rs
+++ b/crates/core/tests/limit_shares.rs
@@ -102,10 +102,10 @@
             if random.random::<f64>() >= wanted_per_s * STEP_MS as f64 / 1_000.0 {
                 continue;
             }
-            if permits.has_one(SERVER, now) {
-                permits.take(SERVER);
+            if permits.has_permit(SERVER, now) {
+                permits.use_permit(SERVER);
                 arrivals.push(at);
-            } else if let Some(wanted) = permits.note_missed(SERVER, now) {
+            } else if let Some(wanted) = permits.note_denied(SERVER, now) {
                 questions += 1;
                 let rate = case.millirequests_per_s;
                 let granted_at = now.after(DELAY_MS);
--- a/crates/core/tests/peer_gossip.rs
+++ b/crates/core/tests/peer_gossip.rs
@@ -42,12 +42,12 @@
     fn play_round(&mut self, living: usize) {
         self.now = self.now.after(ROUND_MS);
         for asker in 0..living {
-            let Some(peer) = self.tables[asker].next_to_ask(&mut self.random) else { continue };
+            let Some(peer) = self.tables[asker].random_peer(&mut self.random) else { continue };
             let Some(asked) = (0..living).find(|entry| address(*entry) == peer) else { continue };
             self.tables[asked].note(address(asker), self.now);
-            let members = self.tables[asked].latest(MEMBERS);
+            let members = self.tables[asked].most_recent(MEMBERS);
             for member in members {
-                self.tables[asker].note(member.address, member.heard_at);
+                self.tables[asker].note(member.address, member.last_seen_at);
             }
             self.tables[asker].note(peer, self.now);
         }
@@ -87,7 +87,7 @@
             fleet.play_round(case.entries);
             let known = fleet.fewest_known(case.entries);
             expect_that!(known, ge(case.known), "{} entries, round {round}", case.entries);
-            let counted = fleet.tables.iter().map(|table| table.living(fleet.now)).min();
+            let counted = fleet.tables.iter().map(|table| table.live_count(fleet.now)).min();
             let least = case.known.min(case.entries / 2);
             expect_that!(counted, some(ge(least)), "{} entries count", case.entries);
         }
@@ -104,7 +104,7 @@
         (0..FORGET_ROUNDS).for_each(|_| fleet.play_round(living));
         let most = fleet.tables[..living].iter().map(PeerTable::len).max();
         expect_that!(most, some(le(living)), "{} entries", case.entries);
-        let counted = fleet.tables[..living].iter().map(|table| table.living(fleet.now)).max();
+        let counted = fleet.tables[..living].iter().map(|table| table.live_count(fleet.now)).max();
         expect_that!(counted, some(le(living)), "{} entries count", case.entries);
     }
 }
--- a/crates/core/tests/returning_rank.rs
+++ b/crates/core/tests/returning_rank.rs
@@ -126,7 +126,7 @@
 
     fn say_hearing(&mut self, is_heard: bool, now: BootMs) {
         for table in &mut self.tables {
-            table.note_hearing(self.servers[0].address, is_heard, now);
+            table.note_agent_reachable(self.servers[0].address, is_heard, now);
         }
     }
 
@@ -141,7 +141,7 @@
     fn begin_streams(&mut self, rank: usize, now_ms: u64) {
         let Rank { queue, running } = &mut self.ranks[rank];
         for stream in queue.drain(..queue.len().min(BEGUN_IN_A_PASS)) {
-            self.tables[stream.entry].note_begun(&self.servers[rank]);
+            self.tables[stream.entry].note_stream_begun(&self.servers[rank]);
             running.push_back((now_ms + STREAM_MS, stream.entry));
             let is_counted = (BACK_AT_MS..BACK_AT_MS + COUNTED_MS).contains(&stream.sent_ms);
             if rank == 0 && is_counted {
@@ -224,7 +224,7 @@
         for _ in 0..case.begun {
             table.note_sent(&frozen);
             table.note_stream_sent(&frozen);
-            table.note_begun(&frozen);
+            table.note_stream_begun(&frozen);
         }
         // Busier than the frozen one.
         (0..9).for_each(|_| table.note_sent(&other));
@@ -236,19 +236,24 @@
         };
         let is_left = chosen(&table, now).as_deref() == Some("r1");
         expect_that!(is_left, eq(case.is_left), "{}: new work", case.name);
-        expect_that!(table.is_unheard(&frozen, now), eq(case.is_left), "{}", case.name);
+        expect_that!(table.should_time_out_early(&frozen, now), eq(case.is_left), "{}", case.name);
         // Its streams leave it one after the other; it stays left until it is heard again.
         for stream in 0..case.begun {
-            let told = table.note_silent(&frozen, now);
+            let told = table.note_timed_out(&frozen, now);
             let is_first = case.is_left && stream == 0;
             expect_that!(told.is_some(), eq(is_first), "{}: told once", case.name);
             table.note_stream_ended(&frozen, true);
             table.note_ended(&frozen);
         }
         let later = now.after(500);
-        expect_that!(table.is_unheard(&frozen, later), eq(case.is_left), "{}: kept", case.name);
+        expect_that!(
+            table.should_time_out_early(&frozen, later),
+            eq(case.is_left),
+            "{}: kept",
+            case.name
+        );
         table.note_event(&frozen, 41 + case.passes, later);
-        expect_false!(table.is_unheard(&frozen, later), "{}: heard again", case.name);
+        expect_false!(table.should_time_out_early(&frozen, later), "{}: heard again", case.name);
     }
 }
 
@@ -268,7 +273,7 @@
         Told { name: "nothing open there", event_before_ms: None, age_ms: 5, is_news: true },
         Told { name: "an older event", event_before_ms: Some(40), age_ms: 5, is_news: true },
         Told { name: "an event since then", event_before_ms: Some(0), age_ms: 5, is_news: false },
-        Told { name: "an old word", event_before_ms: None, age_ms: 2_000, is_news: false },
+        Told { name: "an old report", event_before_ms: None, age_ms: 2_000, is_news: false },
     ];
     for case in cases {
         let rank = server(0);
@@ -279,10 +284,10 @@
         if let Some(before_ms) = case.event_before_ms {
             table.note_event(&rank, 7, now.before(case.age_ms + before_ms));
         }
-        let word = QuietReport { address: rank.address, age_ms: case.age_ms };
-        expect_that!(table.note_told_quiet(word, now), eq(case.is_news), "{}", case.name);
-        expect_that!(table.is_unheard(&rank, now), eq(case.is_news), "{}", case.name);
-        expect_false!(table.note_told_quiet(word, now), "{}: told again", case.name);
-        expect_false!(table.is_unheard(&rank, now.after(2_100)), "{}: later", case.name);
+        let report = QuietReport { address: rank.address, age_ms: case.age_ms };
+        expect_that!(table.note_quiet_report(report, now), eq(case.is_news), "{}", case.name);
+        expect_that!(table.should_time_out_early(&rank, now), eq(case.is_news), "{}", case.name);
+        expect_false!(table.note_quiet_report(report, now), "{}: told again", case.name);
+        expect_false!(table.should_time_out_early(&rank, now.after(2_100)), "{}: later", case.name);
     }
 }
--- a/crates/core/tests/unbegun_requests.rs
+++ b/crates/core/tests/unbegun_requests.rs
@@ -8,11 +8,11 @@
 const SLOTS: usize = 30;
 /// Bounds as entries have them.
 const SETTINGS: AdmissionSettings = AdmissionSettings {
-    least_requests: 4.0,
-    most_part: 1.6,
-    shrink: 0.08,
-    grow_requests: 0.05,
-    settle_ms: 250,
+    min_requests: 4.0,
+    max_share: 1.6,
+    decrease_ratio: 0.08,
+    increase_requests: 0.05,
+    decrease_interval_ms: 250,
 };
 /// Time after which callers leave that got no event.
 const PATIENCE_MS: u64 = 2_000;
@@ -52,21 +52,21 @@
         self.running.retain(|until| *until > now_ms);
         while self.running.len() < SLOTS && !self.queue.is_empty() {
             let sent_at = self.queue.remove(0);
-            admission.note_first(SERVICE, now_ms - sent_at, now);
+            admission.note_first_event(SERVICE, now_ms - sent_at, now);
             self.running.push(now_ms + case.stream_ms);
         }
         let queued = self.queue.len();
         self.queue.retain(|sent_at| {
             let waits = now_ms - sent_at < PATIENCE_MS;
             if !waits {
-                admission.note_unbegun(SERVICE, now_ms - sent_at, now);
+                admission.note_not_begun(SERVICE, now_ms - sent_at, now);
             }
             waits
         });
         self.unbegun += if is_counted { (queued - self.queue.len()) as u32 } else { 0 };
         let open = (self.running.len() + self.queue.len()) as u32;
         if now_ms.is_multiple_of(case.every_ms)
-            && admission.admits(SERVICE, open, SLOTS as f64, SETTINGS.most_part)
+            && admission.admits(SERVICE, open, SLOTS as f64, SETTINGS.max_share)
         {
             self.queue.push(now_ms);
             self.sent += u32::from(is_counted);
--- a/crates/direct/src/agent/fleet.rs
+++ b/crates/direct/src/agent/fleet.rs
@@ -89,7 +89,7 @@
 
     /// Addresses at which entries answer, of a large fleet those that were heard of last.
     pub(crate) fn entries(&self) -> Vec<SocketAddr> {
-        let peers = self.peers.borrow().latest(MOST_TOLD);
+        let peers = self.peers.borrow().most_recent(MOST_TOLD);
         peers.iter().map(|peer| peer.address).collect()
     }
 
@@ -104,7 +104,7 @@
     let client = peer_call::client();
     let mut backends_as_of = 0;
     loop {
-        let peer = fleet.peers.borrow().next_to_ask(&mut rand::rng());
+        let peer = fleet.peers.borrow().random_peer(&mut rand::rng());
         if let Some(peer) = peer {
             let version = fleet.catalog.borrow().version();
             let question = Question { version, backends_as_of, ..Question::of_nothing() };
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -134,8 +134,8 @@
     let backends_as_of = state.backends_as_of.get();
     let is_newer = backends_as_of > question.backends_as_of;
     let backends = is_newer.then(|| state.backends.borrow().servers().cloned().collect());
-    let peers = state.peers.borrow().latest(MOST_MEMBERS);
-    let members = peers.iter().map(|peer| (peer.address, now.since(peer.heard_at)));
+    let peers = state.peers.borrow().most_recent(MOST_MEMBERS);
+    let members = peers.iter().map(|peer| (peer.address, now.since(peer.last_seen_at)));
     Answer {
         version: belief.version(),
         age_ms: belief.age_ms(now),
@@ -157,7 +157,7 @@
             state.log.note(line.with("pace_permille", permille).with("outcome", "pace"));
         }
         Said::Hearing { is_heard } => {
-            backends.note_hearing(address, is_heard, now);
+            backends.note_agent_reachable(address, is_heard, now);
             state.log.note(line.with("outcome", if is_heard { "heard" } else { "unheard" }));
         }
     }
--- a/crates/direct/src/forward/account.rs
+++ b/crates/direct/src/forward/account.rs
@@ -24,7 +24,7 @@
         let line = line.with("left_ms", self.request.limit_at.since(now));
         let line = line.with("configuration", self.request.catalog.version);
         let line = line.with_some("configuration_age_ms", belief.age_ms(now));
-        let spent = self.state.allowance.borrow().spent(&self.service);
+        let spent = self.state.allowance.borrow().retry_count(&self.service);
         let line = line.with("backends_as_of", self.state.backends_as_of.get());
         let line = line.with("second_sends_spent", spent);
         self.state.log.note_ordinary(line.with_some("resume_after", resume_after));
@@ -78,7 +78,7 @@
             self.state.log.note_ordinary(line);
         } else {
             let open = self.state.backends.borrow().outstanding(&self.service);
-            let bound = self.state.admission.borrow().bound_requests(&self.service);
+            let bound = self.state.admission.borrow().limit_requests(&self.service);
             let line = line.with("open_at_service", open);
             self.state.log.note(line.with_some("bound", bound.map(|bound| bound as u64)));
         }
--- a/crates/direct/src/forward/attempt.rs
+++ b/crates/direct/src/forward/attempt.rs
@@ -81,7 +81,7 @@
         let mut backends = self.state.backends.borrow_mut();
         if self.is_begun == Some(false) {
             self.is_begun = Some(true);
-            backends.note_begun(&self.server);
+            backends.note_stream_begun(&self.server);
         }
         if let Some(passes) = passes {
             backends.note_event(&self.server, passes, boot_now());
--- a/crates/direct/src/forward/crash.rs
+++ b/crates/direct/src/forward/crash.rs
@@ -72,7 +72,7 @@
             return Ok(());
         }
         crashes.note_refused(self.digest, boot_now());
-        self.note_crashes(crashes.ended_under(self.digest));
+        self.note_crashes(crashes.ended_server_count(self.digest));
         Err(match self.verdict {
             Verdict::NotRun => Refusal::EndsBackendServers,
             verdict => Refusal::Failed(verdict),
--- a/crates/direct/src/forward/leave.rs
+++ b/crates/direct/src/forward/leave.rs
@@ -11,7 +11,7 @@
     /// than one whose stream is slow.
     pub(super) fn is_to_leave(&self, server: &BackendServer) -> bool {
         let now = boot_now();
-        self.state.backends.borrow().is_left(server, now)
+        self.state.backends.borrow().should_move_streams(server, now)
             && self.request.route.kind == RequestKind::ResumableStream
             && self.may_send_again()
             && self.has_room()
--- a/crates/direct/src/forward/life.rs
+++ b/crates/direct/src/forward/life.rs
@@ -70,7 +70,7 @@
 ) -> Response<AnswerBody> {
     let service = choose_service(&state, &request.route);
     let digest = request.digest(&body);
-    state.allowance.borrow_mut().note_first(boot_now(), &service);
+    state.allowance.borrow_mut().note_first_send(boot_now(), &service);
     let mut life = Life {
         heard_at: request.arrived_at,
         sent_at: request.arrived_at,
@@ -212,7 +212,7 @@
     /// Every send beyond the first that reaches a backend server comes out of the fleet's budget.
     fn take_allowance(&self) -> Result<(), Refusal> {
         let now = boot_now();
-        if self.sends == 0 || self.state.allowance.borrow_mut().take(now, &self.service) {
+        if self.sends == 0 || self.state.allowance.borrow_mut().try_spend(now, &self.service) {
             return Ok(());
         }
         metrics::counter!("hickorycross_retries_denied_total").increment(1);
@@ -235,7 +235,7 @@
     /// Whether the route and the fleet's budget allow for one more send.
     pub(super) fn may_send_again(&self) -> bool {
         self.sends < self.request.route.max_attempts
-            && self.state.allowance.borrow_mut().has_one(boot_now(), &self.service)
+            && self.state.allowance.borrow_mut().allows_retry(boot_now(), &self.service)
     }
 
     /// Whether to leave a backend server's own failure and try again elsewhere, at once: a failure that hangs
@@ -300,7 +300,7 @@
             AttemptEnd::OtherIncarnation => {
                 backends.note_leaving(server);
             }
-            AttemptEnd::TimedOut => quiet = backends.note_silent(server, boot_now()),
+            AttemptEnd::TimedOut => quiet = backends.note_timed_out(server, boot_now()),
             _ => {}
         }
         drop(backends);
--- a/crates/direct/src/forward/limit.rs
+++ b/crates/direct/src/forward/limit.rs
@@ -43,7 +43,7 @@
     pub(super) fn passed_over(&self) -> Vec<String> {
         let withheld = self.limited().into_iter().filter(|(_, word)| {
             let permits = self.state.limit_permits.borrow();
-            !permits.has_one(word.incarnation, boot_now())
+            !permits.has_permit(word.incarnation, boot_now())
         });
         let withheld = withheld.map(|(server, _)| server.id);
         self.tried.iter().cloned().chain(withheld).collect()
@@ -56,9 +56,9 @@
         for (server, word) in self.limited() {
             let mut permits = self.state.limit_permits.borrow_mut();
             if chosen == Some(&server) {
-                permits.take(word.incarnation);
-            } else if !permits.has_one(word.incarnation, now)
-                && let Some(wanted) = permits.note_missed(word.incarnation, now)
+                permits.use_permit(word.incarnation);
+            } else if !permits.has_permit(word.incarnation, now)
+                && let Some(wanted) = permits.note_denied(word.incarnation, now)
             {
                 let asking = limit_share::ask(Rc::clone(&self.state), word, wanted);
                 tokio::task::spawn_local(asking);
@@ -76,7 +76,7 @@
         let of_service = backends.servers().filter(|server| server.service == self.service);
         let now = boot_now();
         let limited = of_service.filter_map(|server| {
-            let word = limits.word(IncarnationDigest::of(server), now)?;
+            let word = limits.report(IncarnationDigest::of(server), now)?;
             word.millirequests_per_s.map(|_| (server.clone(), word))
         });
         limited.collect()
--- a/crates/direct/src/forward/patience.rs
+++ b/crates/direct/src/forward/patience.rs
@@ -120,7 +120,7 @@
         self.can_move
             && silent_ms > SILENT_UNHEARD_MS
             && missed >= PASSES_MISSED_UNHEARD
-            && self.state.backends.borrow().is_unheard(self.server, boot_now())
+            && self.state.backends.borrow().should_time_out_early(self.server, boot_now())
     }
 }
 
--- a/crates/direct/src/forward/room.rs
+++ b/crates/direct/src/forward/room.rs
@@ -47,7 +47,7 @@
                 SendPermission::Allowed if now >= room_until => return Err(self.full()),
                 SendPermission::Allowed => room_until,
                 SendPermission::Probe => now.after(TURNED_AWAY_MS),
-                SendPermission::Unavailable { back_at, retry_at } => {
+                SendPermission::Unavailable { expected_back_at: back_at, retry_at } => {
                     self.note_standing(back_at, now)?;
                     retry_at
                 }
@@ -78,7 +78,7 @@
         if self.request.route.kind.is_stream() && self.sends > 0 && !self.is_begun {
             let now = boot_now();
             let waited_ms = now.since(self.sent_at);
-            self.state.admission.borrow_mut().note_unbegun(&self.service, waited_ms, now);
+            self.state.admission.borrow_mut().note_not_begun(&self.service, waited_ms, now);
         }
     }
 
@@ -115,7 +115,7 @@
             tokio::time::sleep(Duration::from_millis(TURNED_AWAY_MS)).await;
             if is_pending.get() {
                 let mut outlooks = state.outlooks.borrow_mut();
-                outlooks.entry(service).or_default().note_taken(boot_now());
+                outlooks.entry(service).or_default().note_accepted(boot_now());
                 state.room.notify_waiters();
             }
         });
@@ -141,12 +141,12 @@
             return None;
         }
         let (open, outage) = (self.open(), self.outage());
-        self.outlook(|outlook| outlook.back_at(boot_now(), open, outage))
+        self.outlook(|outlook| outlook.expected_back_at(boot_now(), open, outage))
     }
 
     fn passage(&self, now: BootMs) -> SendPermission {
         let (open, outage) = (self.open(), self.outage());
-        self.outlook(|outlook| outlook.passage(now, open, outage))
+        self.outlook(|outlook| outlook.send_permission(now, open, outage))
     }
 
     fn outlook<T>(&self, look: impl FnOnce(&mut GroupAvailability) -> T) -> T {
@@ -218,8 +218,8 @@
         let open = backends.outstanding(&self.service);
         let now = boot_now();
         let used = patience_used(&self.request.route, self.heard_at, now);
-        let late_part = self.outlook(|outlook| outlook.late_part(now, used));
-        let part = if self.is_late() && late_part < 1.0 { late_part } else { UNEVEN_ENTRIES };
+        let late_share = self.outlook(|outlook| outlook.late_share(now, used));
+        let part = if self.is_late() && late_share < 1.0 { late_share } else { UNEVEN_ENTRIES };
         self.state.admission.borrow_mut().admits(&self.service, open, share, part)
     }
 
--- a/crates/direct/src/forward/stream.rs
+++ b/crates/direct/src/forward/stream.rs
@@ -114,7 +114,7 @@
                 Ok(true)
             }
             // A backend server that stops in the middle of an event has not finished.
-            Ok(None) if self.cutter.torn_bytes() > 0 => Err(Some(AttemptEnd::Broken)),
+            Ok(None) if self.cutter.incomplete_bytes() > 0 => Err(Some(AttemptEnd::Broken)),
             Ok(None) => Ok(false),
             Ok(Some(Err(_))) => Err(Some(AttemptEnd::Broken)),
             Err(Impatience::Silent) => Err(Some(AttemptEnd::TimedOut)),
@@ -137,7 +137,7 @@
         // Time in which the request waited here says nothing of the group.
         let span_ms = now.since(self.last_event_at.max(self.life.sent_at));
         if self.events == 0 {
-            state.admission.borrow_mut().note_first(service, span_ms, now);
+            state.admission.borrow_mut().note_first_event(service, span_ms, now);
         } else {
             state.admission.borrow_mut().note_gap(service, span_ms, now);
         }
--- a/crates/direct/src/spread.rs
+++ b/crates/direct/src/spread.rs
@@ -112,7 +112,7 @@
             state.outbox.filled.notified().await;
             continue;
         }
-        let peers = state.peers.borrow().draw(PEERS_A_ROUND, &mut *state.random.borrow_mut());
+        let peers = state.peers.borrow().sample(PEERS_A_ROUND, &mut *state.random.borrow_mut());
         for peer in peers {
             let telling = exchange::tell(Rc::clone(&state), peer, words.clone());
             tokio::task::spawn_local(telling);
@@ -164,7 +164,7 @@
 }
 
 fn hear_of_quiet(state: &EntryState, word: QuietReport) {
-    if state.backends.borrow_mut().note_told_quiet(word, boot_now()) {
+    if state.backends.borrow_mut().note_quiet_report(word, boot_now()) {
         tell_quiet(state, word, "quiet");
     }
 }
@@ -188,7 +188,8 @@
 /// Says what is believed of a request under which a backend server is said to have ended.
 pub(crate) fn note_request_word(state: &EntryState, word: RequestReport, outcome: &'static str) {
     let crashes = state.crashes.borrow();
-    metrics::gauge!("hickorycross_requests_refused_for_crashes").set(crashes.refused() as f64);
+    metrics::gauge!("hickorycross_requests_refused_for_crashes")
+        .set(crashes.refused_count() as f64);
     let line = DecisionLog::fields("request-word").with("digest", word.digest);
     let line = match word.seen {
         RequestObservation::BackendEnded { incarnation, had_begun } => {
@@ -198,7 +199,7 @@
         RequestObservation::Answered => line.with("answered", true),
     };
     let line = line.with("age_ms", word.age_ms);
-    let line = line.with("ended_under_it", crashes.ended_under(word.digest));
+    let line = line.with("ended_under_it", crashes.ended_server_count(word.digest));
     let line = line.with("is_refused", crashes.is_refused(word.digest));
     state.log.note(line.with("outcome", outcome));
 }
--- a/crates/direct/src/state.rs
+++ b/crates/direct/src/state.rs
@@ -31,14 +31,14 @@
 
 /// Bounds on open requests to a group.
 ///
-/// `shrink` and `grow_requests` are those of the usual additive increase, multiplicative decrease;
-/// `settle_ms` is about two passes of a busy group.
+/// `decrease_ratio` and `increase_requests` are those of the usual additive increase, multiplicative
+/// decrease; `decrease_interval_ms` is about two passes of a busy group.
 const ADMISSION: AdmissionSettings = AdmissionSettings {
-    least_requests: 4.0,
-    most_part: UNEVEN_ENTRIES,
-    shrink: 0.08,
-    grow_requests: 0.05,
-    settle_ms: 250,
+    min_requests: 4.0,
+    max_share: UNEVEN_ENTRIES,
+    decrease_ratio: 0.08,
+    increase_requests: 0.05,
+    decrease_interval_ms: 250,
 };
 
 /// Part of all slots of a group that one entry's bound may reach, against an even split.
@@ -197,7 +197,7 @@
 
     /// Takes over the number of known entries for the split of the slack.
     pub(crate) fn split_slack(&self) {
-        let peers = self.peers.borrow().living(boot_now());
+        let peers = self.peers.borrow().live_count(boot_now());
         self.allowance.borrow_mut().set(allowance_of(&self.settings.borrow(), peers));
     }
 
@@ -211,7 +211,7 @@
 
     /// The peer to ask next.
     pub(crate) fn next_to_ask(&self) -> Option<SocketAddr> {
-        self.peers.borrow().next_to_ask(&mut *self.random.borrow_mut())
+        self.peers.borrow().random_peer(&mut *self.random.borrow_mut())
     }
 
     /// All words of this entry, for a peer whose words have another sum.
@@ -219,19 +219,19 @@
         if sum.is_none_or(|sum| sum == self.words_sum()) {
             return Vec::new();
         }
-        let requests = self.crashes.borrow().words(now).into_iter().map(SharedWord::Request);
-        let limits = self.limits.borrow().words(now).into_iter().map(SharedWord::Limit);
+        let requests = self.crashes.borrow().reports(now).into_iter().map(SharedWord::Request);
+        let limits = self.limits.borrow().reports(now).into_iter().map(SharedWord::Limit);
         requests.chain(limits).collect()
     }
 
     /// A sum over the words of this entry, the same at entries that know the same.
     pub(crate) fn words_sum(&self) -> u64 {
-        self.crashes.borrow().sum() ^ self.limits.borrow().sum()
+        self.crashes.borrow().checksum() ^ self.limits.borrow().checksum()
     }
 
     /// Other entries that live, as far as is known, and this one.
     pub(crate) fn entries(&self) -> usize {
-        self.peers.borrow().living(boot_now()) + 1
+        self.peers.borrow().live_count(boot_now()) + 1
     }
 }
 
