--- a/crates/core/src/direct/admission.rs
+++ b/crates/core/src/direct/admission.rs
@@ -1,37 +1,43 @@
-//! How many requests an entry keeps open at the backend servers of a group.
+//! An adaptive bound on the requests that an entry keeps open at the backend servers of a service.
+//!
+//! The bound follows additive increase, multiplicative decrease, driven by the time until first
+//! events and the gaps between events.
 
 use super::BootMs;
 use indexmap::IndexMap;
 
-/// Time from a send until the first event from which a group counts as overloaded: a quarter of the least
-/// time for which callers wait. Slots are taken all the same, and what is refused can come back; what lies
-/// unrun for longer is lost with its caller, or with the machine of its rank.
-const SLOW_FIRST_MS: u64 = 500;
+/// Time to the first event above which a group counts as overloaded: a quarter of the shortest time
+/// for which callers wait.
+///
+/// All slots stay in use at this bound, and callers can retry what is refused. A request that waits
+/// in a backend server's queue for longer is lost when its caller gives up or the instance of its
+/// rank fails.
+const SLOW_FIRST_EVENT_MS: u64 = 500;
 
-/// The same for the pause between two events.
+/// Gap between two events of a stream above which a group counts as overloaded.
 const SLOW_GAP_MS: u64 = 500;
 
-/// Bounds of [`Admission`].
+/// Settings of [`Admission`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionSettings {
-    /// Requests that are always let through, at this entry and for each service.
+    /// Open requests that are always admitted, at this entry and for each service.
     pub min_requests: f64,
-    /// Part of all slots of a group that one entry's bound may reach, against an even split.
+    /// Upper limit of the bound, as a multiple of this entry's even share of the slots of a group.
     pub max_share: f64,
-    /// Share by which the bound shrinks when an answer paused for too long.
+    /// Share by which the bound decreases when an event came too late.
     pub decrease_ratio: f64,
-    /// Requests by which the bound grows with each answer that kept its pace.
+    /// Requests by which the bound increases with each event that came in time.
     pub increase_requests: f64,
-    /// Pause after a decrease_ratio in which no further one is made, so that one slow moment counts once.
+    /// Shortest time between two decreases, so that one slow pass counts once.
     pub decrease_interval_ms: u64,
 }
 
 /// An adaptive bound on open requests, by service.
 ///
-/// A group's ranks advance together: each further request makes every event of every answer later.
-/// Past the pace that callers were promised, one more request makes all of them late instead of one
-/// refused. The bound grows by a little while answers keep their pace and shrinks by a share when
-/// they do not.
+/// All ranks of a group run each pass together, so each further request delays every event of every
+/// stream. Once events are slower than callers were promised, one more request makes all streams
+/// late, which is worse than one refusal. The bound increases by a constant while events come in
+/// time and decreases by a share when they do not.
 #[derive(Clone, Debug)]
 pub struct Admission {
     settings: AdmissionSettings,
@@ -41,67 +47,71 @@
 #[derive(Clone, Copy, Debug)]
 struct Bound {
     requests: f64,
-    settled_at: BootMs,
+    next_decrease_at: BootMs,
 }
 
 impl Admission {
-    /// Begins without bounds.
+    /// Creates a controller that has seen no service yet; the first bound of a service is its upper
+    /// limit.
     #[must_use]
     pub fn new(settings: AdmissionSettings) -> Self {
         Self { settings, services: IndexMap::new() }
     }
 
-    /// Whether one more request may be sent while `open` are open, `share` would fill this entry's part
-    /// of the slots, and the request may take `part` of that.
+    /// Returns whether one more request may be sent.
+    ///
+    /// `open` is the number of this entry's open requests, `share` the number that fills its even
+    /// share of the slots, and `part` the fraction of that share which this kind of request may
+    /// take.
     pub fn admits(&mut self, service: &str, open: u32, share: f64, part: f64) -> bool {
-        let AdmissionSettings { min_requests: least, max_share, .. } = self.settings;
-        let most = share * max_share;
-        let bound = self.bound(service, most);
-        bound.requests = bound.requests.clamp(least, most.max(least));
-        f64::from(open) < bound.requests.min((share * part).max(least))
+        let AdmissionSettings { min_requests: floor, max_share, .. } = self.settings;
+        let max_requests = share * max_share;
+        let bound = self.bound(service, max_requests);
+        bound.requests = bound.requests.clamp(floor, max_requests.max(floor));
+        f64::from(open) < bound.requests.min((share * part).max(floor))
     }
 
-    /// Notes the first event of an answer, `took_ms` after its request was sent.
+    /// Records the first event of a stream, `took_ms` after its request was sent.
     pub fn note_first_event(&mut self, service: &str, took_ms: u64, now: BootMs) {
-        self.note_pace(service, took_ms <= SLOW_FIRST_MS, now);
+        self.note_timeliness(service, took_ms <= SLOW_FIRST_EVENT_MS, now);
     }
 
-    /// Notes a further event of an answer, `gap_ms` after the one before.
+    /// Records a further event of a stream, `gap_ms` after the previous one.
     pub fn note_gap(&mut self, service: &str, gap_ms: u64, now: BootMs) {
-        self.note_pace(service, gap_ms <= SLOW_GAP_MS, now);
+        self.note_timeliness(service, gap_ms <= SLOW_GAP_MS, now);
     }
 
-    /// Notes the end of a request that was sent `waited_ms` ago and has not begun.
+    /// Records the end of a request that was sent `waited_ms` ago and got no event.
     ///
-    /// Only answers tell of a group's pace otherwise. Of requests that never begin nothing would be heard, and
-    /// ever more would be sent to lie in queues until their callers leave.
+    /// The other inputs are events. Without this one, requests that never begin would not lower the
+    /// bound, and more and more would be queued at backend servers until their callers give up.
     pub fn note_not_begun(&mut self, service: &str, waited_ms: u64, now: BootMs) {
-        if waited_ms > SLOW_FIRST_MS {
-            self.note_pace(service, false, now);
+        if waited_ms > SLOW_FIRST_EVENT_MS {
+            self.note_timeliness(service, false, now);
         }
     }
 
-    /// Notes how an answer kept its pace.
-    pub fn note_pace(&mut self, service: &str, kept: bool, now: BootMs) {
+    /// Adjusts the bound of a service after an event that came in time or too late.
+    pub fn note_timeliness(&mut self, service: &str, in_time: bool, now: BootMs) {
         let AdmissionSettings { decrease_ratio, increase_requests, decrease_interval_ms, .. } =
             self.settings;
         let Some(bound) = self.services.get_mut(service) else { return };
-        if kept {
+        if in_time {
             bound.requests += increase_requests;
-        } else if bound.settled_at <= now {
+        } else if bound.next_decrease_at <= now {
             bound.requests *= 1.0 - decrease_ratio;
-            bound.settled_at = now.after(decrease_interval_ms);
+            bound.next_decrease_at = now.after(decrease_interval_ms);
         }
     }
 
-    /// The present bound of a service, in requests.
+    /// Returns the current bound of a service in requests, or nothing before its first request.
     #[must_use]
     pub fn limit_requests(&self, service: &str) -> Option<f64> {
         self.services.get(service).map(|bound| bound.requests)
     }
 
-    fn bound(&mut self, service: &str, most: f64) -> &mut Bound {
-        let fresh = Bound { requests: most, settled_at: BootMs(0) };
+    fn bound(&mut self, service: &str, max_requests: f64) -> &mut Bound {
+        let fresh = Bound { requests: max_requests, next_decrease_at: BootMs(0) };
         if !self.services.contains_key(service) {
             self.services.insert(service.to_owned(), fresh);
         }
--- a/crates/core/src/direct/attempt_end.rs
+++ b/crates/core/src/direct/attempt_end.rs
@@ -1,28 +1,29 @@
-//! What the end of an attempt proves.
+//! How an attempt at a backend server failed, and whether it may have run.
 
 use crate::Verdict;
 
-/// How an attempt at a backend server ended without an answer that can be handed on.
+/// Why an attempt at a backend server gave no answer that can be forwarded to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// No connection came about, or it closed before a byte of the request had left.
+    /// The connection failed, or closed before a byte of the request was sent.
     NothingSent,
-    /// The backend server said that it did not run the request.
+    /// The backend server stated that it did not run the request.
     Rejected,
-    /// Another backend server has the address now, and did not run it.
+    /// Another incarnation listens at the address and stated that it did not run the request.
     OtherIncarnation,
-    /// The connection broke after bytes had left.
+    /// The connection broke after bytes were sent.
     Broken,
-    /// No answer came in time.
+    /// No answer, or no next event, came in time.
     TimedOut,
-    /// What came was not an answer to this request.
+    /// The data received was not a valid answer to this request.
     InvalidAnswer,
-    /// The entry left it, because it is slow and holds its whole group up.
+    /// The entry moved the request away because the backend server is slow and delays its whole
+    /// group.
     Abandoned,
 }
 
 impl AttemptEnd {
-    /// The word for logs and metrics.
+    /// Returns the value for logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -37,20 +38,21 @@
     }
 }
 
-/// What follows from the end of an attempt.
+/// What the end of an attempt means for its request and its backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Judgement {
     /// Whether the attempt may have run.
     pub verdict: Verdict,
-    /// Whether the backend server deserves less trust for it.
+    /// Whether it counts as a failure of the backend server.
     pub blames_backend: bool,
 }
 
-/// Judges the end of one attempt.
+/// Classifies the end of one attempt.
 ///
-/// Only a backend server's own word or the lack of any byte sent proves that a request did not run.
-/// Taking a reset or silence for proof would let a non-idempotent request run twice.
+/// Only a statement of the backend server, or that no byte was sent, proves that a request did not
+/// run. Treating a connection reset or a timeout as proof would let a non-idempotent request run
+/// twice.
 pub const fn judge_attempt(end: AttemptEnd) -> Judgement {
     match end {
         AttemptEnd::NothingSent => Judgement { verdict: Verdict::NotRun, blames_backend: true },
--- a/crates/core/src/direct/backend_table.rs
+++ b/crates/core/src/direct/backend_table.rs
@@ -1,4 +1,5 @@
-//! The backend servers that this entry reaches, and what it has seen of them.
+//! The backend servers that this entry can send to, with the failures and load that it has
+//! observed.
 
 use super::BootMs;
 use super::quiet_ranks::Streams;
@@ -6,98 +7,100 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Time after the store's return for which an entry that lapsed meanwhile stays usable.
+/// Time after the store's recovery for which an unlisted backend server stays usable.
 ///
-/// Entries of live backend servers are back within about two seconds of the store's return; dropping
-/// them at once would leave requests without a backend server after every outage.
+/// Live backend servers register again within about two seconds of the store's recovery. Dropping
+/// them at once would leave requests without a backend server after every outage of the store.
 const LAPSE_GRACE_MS: u64 = 2_200;
 
-/// First pause of a backend server that failed; doubles with each further failure in a row.
+/// First pause of a failing backend server; it doubles with each further consecutive failure.
 const FIRST_PAUSE_MS: u64 = 400;
 
 /// Longest pause of a backend server that keeps failing.
 ///
-/// Well under the shortest faults that were seen to end by themselves (4 s), so that capacity is
-/// missed for at most half of that after the fault.
+/// The shortest faults that end by themselves last 4 s. The pause is half of that, so that at most
+/// 2 s of capacity are lost after such a fault.
 const LONGEST_PAUSE_MS: u64 = 2_000;
 
-/// Failures in a row before the first pause. One broken connection is no sign of a bad server.
+/// Consecutive failures before the first pause. A single broken connection does not mean a faulty
+/// server.
 const FAILURES_BEFORE_PAUSE: u32 = 2;
 
-/// Weight of the newest outcome in the running share of failures, for about the last ten outcomes.
+/// Weight of the newest outcome in the moving average of failures, which covers about ten outcomes.
 const FAILURE_WEIGHT: f64 = 0.1;
 
-/// Pace of a backend server whose work takes as long as usual.
+/// Pace of a backend server whose work takes the usual time.
 pub(super) const USUAL_PACE_PERMILLE: u32 = 1_000;
 
-/// Time for which a slow pace is believed. Its agent says it again well before; an agent that is
-/// gone must not keep work away from its backend server for good.
-const PACE_KEPT_MS: u64 = 3_000;
+/// Time for which a reported pace is valid. The agent repeats its report well within this time;
+/// when the agent is gone, its last report must not divert work from the backend server for good.
+const PACE_VALID_MS: u64 = 3_000;
 
-/// Time for which it is believed that the agent beside a backend server is not heard. The agent that leads
-/// says it again well before; one that is gone must not keep work away for good.
-const AGENT_UNREACHABLE_KEPT_MS: u64 = 3_000;
+/// Time for which a report that an agent is unreachable is valid. The leader of the group repeats
+/// it well within this time; when the leader is gone, its last report must not divert work for
+/// good.
+const AGENT_UNREACHABLE_VALID_MS: u64 = 3_000;
 
-/// Whether a backend server takes new work.
+/// Whether a backend server accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BackendState {
-    /// It does.
+    /// It accepts new work.
     Ready,
-    /// It finishes what runs and takes nothing new.
+    /// It finishes running requests and accepts no new ones.
     Leaving,
 }
 
 /// One incarnation of a backend server, as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendServer {
-    /// Its name. A backend server that starts again may have the name that it had.
+    /// Its name. A backend server may keep its name across restarts.
     pub id: String,
-    /// When it started, in Unix milliseconds by its own clock, which tells incarnations of one name
-    /// apart; 0 when it does not say.
+    /// When it started, in Unix milliseconds by its own clock; 0 if unknown. Distinguishes
+    /// incarnations with the same name.
     pub born_ms: u64,
-    /// The service that it belongs to.
+    /// Name of the service that it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Failure domain of its instance.
     pub failure_domain: String,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: BackendState,
-    /// The store's revision at which its entry appeared.
+    /// Revision of the store at which it was registered.
     pub listed_at_revision: u64,
 }
 
 impl BackendServer {
-    /// Whether this is an earlier incarnation than `other` of the same name.
+    /// Returns whether this is an earlier incarnation than `other` with the same name.
     ///
-    /// One that does not say when it started is taken for the same.
+    /// A server without a start time counts as the same incarnation.
     #[must_use]
     pub const fn is_before(&self, other: &Self) -> bool {
         self.born_ms != 0 && self.born_ms < other.born_ms
     }
 }
 
-/// Where a row of the table comes from.
+/// Whether the store still lists a backend server of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listing {
-    /// The store lists it.
+    /// The store lists the backend server.
     Listed,
-    /// It vanished while the store was away, and is usable until then.
+    /// It is missing after an outage of the store, and stays usable until this moment.
     LapsedUntil(BootMs),
-    /// The store holds something under its name that cannot be read: it gets no new work until the
-    /// store holds its entry again.
+    /// The store holds an unreadable value under its name. It gets no new work until the value is
+    /// readable again.
     Unreadable,
 }
 
-/// A backend server with what this entry saw of it.
+/// A backend server with the state that this entry has observed.
 #[derive(Clone, Debug)]
 pub(super) struct Row {
     pub(super) server: BackendServer,
     listing: Listing,
     pub(super) outstanding: u32,
-    /// The streams among them.
+    /// The streams among the outstanding requests.
     pub(super) streams: Streams,
     failures_in_row: u32,
     pub(super) failure_share: f64,
@@ -107,34 +110,35 @@
     agent_unreachable_until: BootMs,
 }
 
-/// All backend servers, by incarnation.
+/// All known backend servers, by name; each row holds the newest incarnation of its name.
 #[derive(Clone, Debug, Default)]
 pub struct BackendTable {
     pub(super) rows: IndexMap<String, Row>,
-    /// Names of those whose address another one has got since.
+    /// Names of servers whose address another server was registered with later.
     replaced: IndexSet<String>,
     pub(super) own_failure_domain: String,
-    /// Passes of the group of a service that were seen to end.
+    /// Number of passes that were seen to end, by service.
     pub(super) passes: IndexMap<String, u64>,
 }
 
 impl BackendTable {
-    /// An empty table of an entry in `own_failure_domain`.
+    /// Creates an empty table for an entry in `own_failure_domain`.
     #[must_use]
     pub fn new(own_failure_domain: &str) -> Self {
         let own_failure_domain = own_failure_domain.to_owned();
         Self { own_failure_domain, ..Self::default() }
     }
 
-    /// Takes over what the platform says of one backend server. Returns whether anything changed.
+    /// Inserts or updates one backend server as the platform lists it. Returns whether anything
+    /// changed.
     ///
-    /// A newer incarnation of the same name knows nothing of before: failures, pauses and open
-    /// requests of the earlier one are forgotten, and so is that it was leaving. An earlier one, as a
-    /// stale replica may show it, changes nothing.
+    /// A newer incarnation of the same name replaces the row: failures, pauses, open requests and
+    /// the leaving state of the earlier one are dropped. An earlier incarnation, as a stale replica
+    /// may return it, changes nothing.
     pub fn put(&mut self, server: BackendServer) -> bool {
         let changed = self.put_row(server);
         if changed {
-            self.find_replaced();
+            self.update_replaced();
         }
         changed
     }
@@ -152,8 +156,8 @@
             return true;
         }
         server.born_ms = server.born_ms.max(row.server.born_ms);
-        // A stale replica may show an older entry; who has said that it leaves never comes back as
-        // the same incarnation.
+        // A stale replica may return an older state; an incarnation that is leaving never becomes
+        // ready again.
         if row.server.state == BackendState::Leaving {
             server.state = BackendState::Leaving;
         }
@@ -163,28 +167,29 @@
         changed
     }
 
-    /// Notes that the store holds something unreadable under a name. Returns whether that changed
-    /// anything.
+    /// Records that the store holds an unreadable value under a name. Returns whether that is a
+    /// change.
     ///
-    /// Whoever wrote it, the backend server's own entry is no longer there to say that it takes work.
+    /// Without a readable registration nothing shows that the backend server still accepts work.
     pub fn note_unreadable(&mut self, id: &str) -> bool {
         let Some(row) = self.rows.get_mut(id) else { return false };
         let changed = row.listing != Listing::Unreadable;
         row.listing = Listing::Unreadable;
-        self.find_replaced();
+        self.update_replaced();
         changed
     }
 
-    /// Drops an incarnation that the platform no longer lists. Returns whether it was known.
+    /// Removes a backend server that the platform no longer lists. Returns whether it was known.
     pub fn remove(&mut self, id: &str) -> bool {
         let was_known = self.rows.swap_remove(id).is_some();
-        self.find_replaced();
+        self.update_replaced();
         was_known
     }
 
-    /// Takes over a whole listing made at `now`, `returned_at` being when the store came back.
+    /// Replaces the table by a complete listing made at `now`.
     ///
-    /// Returns the incarnations that were dropped.
+    /// `returned_at` is when the store last recovered from an outage; servers missing from the
+    /// listing stay usable for a short time after that. Returns the names that were removed.
     pub fn replace_all(
         &mut self,
         servers: Vec<BackendServer>,
@@ -195,16 +200,17 @@
         for server in servers {
             self.put_row(server);
         }
-        self.find_replaced();
+        self.update_replaced();
         let missing = self.rows.keys().filter(|id| !listed.contains(id)).cloned();
         let missing: Vec<String> = missing.collect();
         missing.into_iter().filter(|id| self.lapse(id, now, returned_at)).collect()
     }
 
-    /// An incarnation is no longer listed. Returns whether it was dropped at once.
+    /// Handles a backend server that is no longer listed. Returns whether it was removed at once.
     ///
-    /// Entries may lapse only because the store was away; they stay usable for a short time after
-    /// its return. At any other time a missing entry means that the backend server is gone.
+    /// Registrations may expire only because the store was down, so they stay usable for a short
+    /// time after its recovery. At any other time a missing registration means that the server is
+    /// gone.
     pub fn lapse(&mut self, id: &str, now: BootMs, returned_at: Option<BootMs>) -> bool {
         let until = returned_at.map(|at| at.after(LAPSE_GRACE_MS)).filter(|until| *until > now);
         match (until, self.rows.get_mut(id)) {
@@ -219,7 +225,7 @@
         }
     }
 
-    /// Drops lapsed incarnations whose time is over; returns them.
+    /// Removes unlisted backend servers whose grace period is over, and returns their names.
     pub fn expire(&mut self, now: BootMs) -> Vec<String> {
         let is_over = |row: &Row| matches!(row.listing, Listing::LapsedUntil(at) if at <= now);
         let over = self.rows.values().filter(|row| is_over(row)).map(|row| row.server.id.clone());
@@ -228,67 +234,74 @@
         over
     }
 
-    /// Whether a newer incarnation has taken the name of this one.
+    /// Returns whether a newer incarnation with the same name is known.
     #[must_use]
     pub fn is_superseded(&self, server: &BackendServer) -> bool {
         self.rows.get(&server.id).is_some_and(|row| server.is_before(&row.server))
     }
 
-    /// The row of a name, whichever incarnation it has now.
+    /// Returns the row with the name of `server`, whichever incarnation it holds.
     pub(super) fn row(&self, server: &BackendServer) -> Option<&Row> {
         self.rows.get(&server.id)
     }
 
-    pub(super) fn row_of(&mut self, server: &BackendServer) -> Option<&mut Row> {
+    /// Returns the row of `server`, unless it holds a newer incarnation.
+    pub(super) fn current_row_mut(&mut self, server: &BackendServer) -> Option<&mut Row> {
         self.rows.get_mut(&server.id).filter(|row| !server.is_before(&row.server))
     }
 
-    /// Notes that a backend server itself says that it leaves.
+    /// Records that a backend server itself announced that it is leaving. Returns whether it was
+    /// ready.
     pub fn note_leaving(&mut self, server: &BackendServer) -> bool {
-        let Some(row) = self.row_of(server) else { return false };
+        let Some(row) = self.current_row_mut(server) else { return false };
         let was_ready = row.server.state == BackendState::Ready;
         row.server.state = BackendState::Leaving;
-        self.find_replaced();
+        self.update_replaced();
         was_ready
     }
 
-    /// Whether an incarnation is known and takes new work.
+    /// Returns whether an incarnation is known and accepts new work.
     #[must_use]
     pub fn takes_work(&self, id: &str, born_ms: u64) -> bool {
-        let is_it = |row: &&Row| row.server.born_ms == born_ms && row.takes_work();
-        self.rows.get(id).filter(is_it).is_some()
+        let is_available = |row: &&Row| row.server.born_ms == born_ms && row.accepts_work();
+        self.rows.get(id).filter(is_available).is_some()
     }
 
-    /// Notes how long the work of the backend server at `address` takes, in thousandths of the
+    /// Records how long the work of the backend server at `address` takes, in thousandths of the
     /// usual time.
     pub fn note_pace(&mut self, address: SocketAddr, permille: u32, now: BootMs) {
         for row in self.rows.values_mut().filter(|row| row.server.address == address) {
             row.pace_permille = permille.max(USUAL_PACE_PERMILLE);
-            row.pace_until = now.after(PACE_KEPT_MS);
+            row.pace_until = now.after(PACE_VALID_MS);
         }
     }
 
-    /// Notes whether the agent beside the backend server at `address` is heard by the one that leads their
-    /// group.
+    /// Records whether the leader of the group can reach the agent beside the backend server at
+    /// `address`.
     pub fn note_agent_reachable(&mut self, address: SocketAddr, is_reachable: bool, now: BootMs) {
-        let until = if is_reachable { now } else { now.after(AGENT_UNREACHABLE_KEPT_MS) };
+        let until = if is_reachable { now } else { now.after(AGENT_UNREACHABLE_VALID_MS) };
         for row in self.rows.values_mut().filter(|row| row.server.address == address) {
             row.agent_unreachable_until = until;
         }
     }
 
-    pub(super) fn open(&self, service: &str) -> impl Iterator<Item = &Row> {
-        let is_open = move |row: &&Row| row.server.service == service && row.takes_work();
-        self.rows.values().filter(is_open).filter(|row| !self.replaced.contains(&row.server.id))
+    /// Returns the backend servers of a service that accept new work.
+    pub(super) fn available(&self, service: &str) -> impl Iterator<Item = &Row> {
+        let is_available = move |row: &&Row| row.server.service == service && row.accepts_work();
+        self.rows
+            .values()
+            .filter(is_available)
+            .filter(|row| !self.replaced.contains(&row.server.id))
     }
 
-    /// Finds those whose address another backend server that takes work has got since.
+    /// Finds servers whose address was registered later by another server that accepts work.
     ///
-    /// The entry of one that crashed stays for some heartbeats. After all machines have lost power every
-    /// address is listed twice, and half of all requests would reach a backend server that is another.
-    fn find_replaced(&mut self) {
+    /// The registration of a crashed server lasts for some heartbeats. After a power loss of all
+    /// instances every address is listed twice, and half of all requests would reach a different
+    /// incarnation than the chosen one.
+    fn update_replaced(&mut self) {
         let mut latest: IndexMap<SocketAddr, u64> = IndexMap::new();
-        for row in self.rows.values().filter(|row| row.takes_work()) {
+        for row in self.rows.values().filter(|row| row.accepts_work()) {
             let revision = latest.entry(row.server.address).or_default();
             *revision = row.server.listed_at_revision.max(*revision);
         }
@@ -299,31 +312,31 @@
         self.replaced = replaced.collect();
     }
 
-    /// Counts a request sent to a backend server.
+    /// Records that a request was sent to a backend server.
     pub fn note_sent(&mut self, server: &BackendServer) {
-        if let Some(row) = self.row_of(server) {
+        if let Some(row) = self.current_row_mut(server) {
             row.outstanding += 1;
         }
     }
 
-    /// Counts the end of a request at a backend server.
+    /// Records that a request ended at a backend server.
     pub fn note_ended(&mut self, server: &BackendServer) {
-        if let Some(row) = self.row_of(server) {
+        if let Some(row) = self.current_row_mut(server) {
             row.outstanding = row.outstanding.saturating_sub(1);
         }
     }
 
-    /// Notes an answer of a backend server.
+    /// Records an answer of a backend server, which ends its run of consecutive failures.
     pub fn note_success(&mut self, server: &BackendServer) {
-        if let Some(row) = self.row_of(server) {
+        if let Some(row) = self.current_row_mut(server) {
             row.failures_in_row = 0;
             row.failure_share *= 1.0 - FAILURE_WEIGHT;
         }
     }
 
-    /// Notes a failure that a backend server is blamed for. Returns until when it is paused.
+    /// Records a failure of a backend server. Returns until when it is paused, if it is.
     pub fn note_failure(&mut self, server: &BackendServer, now: BootMs) -> Option<BootMs> {
-        let row = self.row_of(server)?;
+        let row = self.current_row_mut(server)?;
         row.failures_in_row += 1;
         row.failure_share = row.failure_share * (1.0 - FAILURE_WEIGHT) + FAILURE_WEIGHT;
         let beyond = row.failures_in_row.checked_sub(FAILURES_BEFORE_PAUSE)?;
@@ -332,49 +345,50 @@
         Some(row.paused_until)
     }
 
-    /// Backend servers of a service that take new work.
+    /// Returns the number of backend servers of a service that accept new work.
     #[must_use]
     pub fn ready_count(&self, service: &str) -> usize {
-        self.open(service).count()
+        self.available(service).count()
     }
 
-    /// This entry's open requests at all backend servers of a service.
+    /// Returns the number of this entry's open requests at all backend servers of a service.
     #[must_use]
     pub fn outstanding(&self, service: &str) -> u32 {
         let of_service = self.rows.values().filter(|row| row.server.service == service);
         of_service.map(|row| row.outstanding).sum()
     }
 
-    /// Requests that the ready backend servers of a service run at once.
+    /// Returns the total slots of the backend servers of a service that accept new work.
     #[must_use]
     pub fn slots(&self, service: &str) -> u32 {
-        self.open(service).map(|row| row.server.slots).sum()
+        self.available(service).map(|row| row.server.slots).sum()
     }
 
-    /// The newest incarnation of a name.
+    /// Returns the newest known incarnation with a name.
     #[must_use]
     pub fn server(&self, id: &str) -> Option<BackendServer> {
         self.rows.get(id).map(|row| row.server.clone())
     }
 
-    /// All backend servers, in no order that means anything.
+    /// Returns all backend servers, in no particular order.
     pub fn servers(&self) -> impl Iterator<Item = &BackendServer> {
         self.rows.values().map(|row| &row.server)
     }
 }
 
 impl Row {
-    /// How long its work takes, as far as is known, in thousandths of the usual time.
+    /// Returns how long its work takes, in thousandths of the usual time; the usual pace if
+    /// unknown.
     pub(super) fn pace_permille(&self, now: BootMs) -> u32 {
         if self.pace_until > now { self.pace_permille } else { USUAL_PACE_PERMILLE }
     }
 
-    /// Whether the agent beside it is not heard, as far as is known.
+    /// Returns whether a valid report says that the agent beside it is unreachable.
     pub(super) fn is_agent_unreachable(&self, now: BootMs) -> bool {
         self.agent_unreachable_until > now
     }
 
-    fn takes_work(&self) -> bool {
+    fn accepts_work(&self) -> bool {
         self.server.state == BackendState::Ready && self.listing != Listing::Unreadable
     }
 
--- a/crates/core/src/direct/catalog.rs
+++ b/crates/core/src/direct/catalog.rs
@@ -1,4 +1,4 @@
-//! What callers may ask for, and which services answer it.
+//! The operators' configuration: routes, the services that answer them, teams and limits.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -6,75 +6,75 @@
 /// One version of the operators' configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
-    /// Grows with every version, in uneven steps.
+    /// Increases with every version, not necessarily by one.
     pub version: u64,
-    /// Routes in the order of the operators.
+    /// Routes in the order of the configuration.
     pub routes: Vec<Route>,
     /// Services by name.
     pub services: IndexMap<String, Service>,
-    /// Teams that hold API keys; none when requests need no key.
+    /// Teams with their API keys; empty when requests need no key.
     pub teams: Vec<Team>,
-    /// Bounds on what callers may send.
+    /// Limits on requests of callers.
     pub limits: CallerLimits,
 }
 
-/// Requests of one host and path prefix.
+/// How requests for one host and path prefix are handled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// Host, without a port.
+    /// Host name, without a port.
     pub host: String,
-    /// Beginning of the path; begins and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated, and whether they are answered by a stream.
     pub kind: RequestKind,
-    /// Longest time for which a caller is kept waiting.
+    /// Longest time for a whole request.
     pub timeout_ms: u64,
-    /// Time within which an answer, or its first event, is on time.
+    /// Target for the time until the answer, or until the first event of a stream.
     pub target_latency_ms: u64,
-    /// Longest pause between events of an answer that is on time.
+    /// Target for the gap between two events of a stream.
     pub target_gap_ms: Option<u64>,
-    /// Urgency, 0 first.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services that answer, with their weights.
+    /// Services that answer the route, with their weights.
     pub backends: Vec<BackendShare>,
-    /// Most backend servers to which one request may be sent.
+    /// Most attempts for one request, each at another backend server.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without an API key.
     pub public: bool,
 }
 
-/// A service's part of a route.
+/// A service's share of the requests of a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BackendShare {
     /// Name of the service.
     pub service: String,
-    /// Its weight against the route's other services.
+    /// Its weight relative to the route's other services.
     pub weight: u32,
 }
 
-/// What may be repeated.
+/// Whether requests may be repeated, and whether they are answered by a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestKind {
     /// May run more than once.
     Idempotent,
-    /// May run once at most.
+    /// Must run at most once.
     NonIdempotent,
-    /// Answered by events; may run once at most.
+    /// Answered by a stream of events; must run at most once.
     Stream,
-    /// Answered by events; may be continued at another backend server after the last event.
+    /// Answered by a stream of events; another backend server can continue after the last event.
     ResumableStream,
 }
 
 impl RequestKind {
-    /// Whether another run does no harm.
+    /// Returns whether a request may run more than once.
     #[must_use]
     pub const fn is_idempotent(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Returns whether the answer is a stream of events.
     #[must_use]
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
@@ -86,49 +86,50 @@
 pub struct Service {
     /// Dimensions of its model groups, if its backend servers are ranks of groups.
     pub group: Option<GroupDimensions>,
-    /// Time that a group takes to form anew after a rank was lost, if its backend servers are ranks.
+    /// Time that a group takes to form again after the loss of a rank, if its backend servers are
+    /// ranks.
     pub forming_ms: u64,
 }
 
-/// What the operators say of the groups of a service.
+/// Dimensions of the model groups of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GroupDimensions {
-    /// Sets of layers, each with experts of its own.
+    /// Number of layer sets, each with its own experts.
     pub layers: u16,
-    /// Experts of a set.
+    /// Experts in a layer set.
     pub experts_per_layer: u16,
-    /// Experts of one set that one rank can hold.
+    /// Experts of one layer set that one rank can hold.
     pub expert_slots_per_rank: u16,
-    /// Experts of one set that one change may add to a rank.
+    /// Experts of one layer set that one map change may add to a rank.
     pub spare_slots_per_rank: u16,
 }
 
 /// A team and its API keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Team {
-    /// Its name, which backend servers are told.
+    /// Its name, which is sent to backend servers.
     pub name: String,
-    /// Keys that its callers may use.
+    /// API keys of its callers.
     pub api_keys: Vec<String>,
-    /// Urgency that goes before the route's, 0 first.
+    /// Priority that overrides the route's; 0 is the most urgent.
     pub priority: Option<u8>,
 }
 
-/// Bounds on what a caller may send, and how long it may take.
+/// Limits on the size of requests and on the time that callers may take to send them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Size of a request's head.
+    /// Largest request head.
     pub max_header_bytes: u64,
-    /// Size of a request's body.
+    /// Largest request body.
     pub max_body_bytes: u64,
-    /// Time for a request's head.
+    /// Longest time for receiving a request head.
     pub header_timeout_ms: u64,
-    /// Time for which a connection may stay idle.
+    /// Longest time for which a connection may stay idle.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// Bounds before any configuration is known: the usual ones of HTTP servers.
+    /// Limits before any configuration is known: common defaults of HTTP servers.
     fn default() -> Self {
         Self {
             max_header_bytes: 16 * 1024,
@@ -140,21 +141,22 @@
 }
 
 impl Catalog {
-    /// Finds the route of a request: of those of the host, the one with the longest prefix.
+    /// Returns the route of a request: among those of the host, the one with the longest matching
+    /// prefix.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let of_host = self.routes.iter().filter(|route| route.host.eq_ignore_ascii_case(host));
         of_host.filter(|route| path.starts_with(&route.prefix)).max_by_key(|it| it.prefix.len())
     }
 
-    /// The lowest priority of any route or team, the highest number.
+    /// Returns the least urgent priority of any route or team, which is the highest number.
     #[must_use]
     pub fn lowest_priority(&self) -> u8 {
         let of_routes = self.routes.iter().map(|route| route.priority);
         of_routes.chain(self.teams.iter().filter_map(|team| team.priority)).max().unwrap_or(0)
     }
 
-    /// Finds the team that holds a key.
+    /// Returns the team that an API key belongs to.
     #[must_use]
     pub fn team_of_key(&self, key: &str) -> Option<&Team> {
         self.teams.iter().find(|team| team.api_keys.iter().any(|held| held == key))
--- a/crates/core/src/direct/catalog_state.rs
+++ b/crates/core/src/direct/catalog_state.rs
@@ -1,40 +1,42 @@
-//! How old the word of the configuration is.
+//! The configuration in force, and how recently it was confirmed to be the newest.
 
 use super::{BootMs, Catalog};
 use std::sync::Arc;
 
-/// Longest time for which the store may learn of a change without telling its watchers; it then cuts them
-/// off.
-const DEAF_WATCH_MS: u64 = 1_000;
+/// Longest time for which the store may accept a change without notifying its watchers; it then
+/// closes their connections.
+const STORE_NOTIFY_DELAY_MS: u64 = 1_000;
 
-/// Time that a decision may take from the check of a key until the request has left.
-const KEY_USE_SLACK_MS: u64 = 500;
+/// Time allowed from the check of a key until the request is sent.
+const KEY_CHECK_TO_SEND_MS: u64 = 500;
 
-/// Age up to which a catalog's word on keys holds, where a key that was taken away is dead after `revoke_ms` and
-/// the store is watched for `watch_ms` at a time.
+/// Returns the age in milliseconds up to which API keys may be checked against a catalog.
 ///
-/// A watch that brings nothing vouches for the moment at which it was sent. The store may have been deaf for the
-/// last part of it, so only a watch that is shorter than that may be wrong about its beginning. Too short a
-/// bound refuses callers with good keys whenever the store is away.
+/// `revoke_ms` is the time within which a revoked key must stop working, and `watch_ms` the length
+/// of one watch request to the store. A watch that returns no change confirms the catalog as of the
+/// moment it was sent. The store may have withheld notifications during the last
+/// `STORE_NOTIFY_DELAY_MS` of the watch, so a watch shorter than that may miss a change made before
+/// it was sent; only the difference is subtracted. A smaller bound would refuse callers with valid
+/// keys whenever the store is unreachable.
 #[must_use]
 pub const fn max_catalog_age_for_keys_ms(revoke_ms: u64, watch_ms: u64) -> u64 {
-    let deaf_ms = DEAF_WATCH_MS.saturating_sub(watch_ms);
-    revoke_ms.saturating_sub(deaf_ms + KEY_USE_SLACK_MS)
+    let missed_ms = STORE_NOTIFY_DELAY_MS.saturating_sub(watch_ms);
+    revoke_ms.saturating_sub(missed_ms + KEY_CHECK_TO_SEND_MS)
 }
 
-/// What became of a catalog that was offered.
+/// Result of [`CatalogState::offer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum Adoption {
-    /// It is in force now.
+    /// The offered catalog is now in force.
     Adopted,
-    /// It was in force already.
+    /// This version was already in force.
     Known,
-    /// A newer one is in force.
+    /// A newer version is in force; the offered one was dropped.
     Older,
 }
 
-/// The catalog in force, and until when it was certainly the newest.
+/// The catalog in force, and the last moment at which it was confirmed to be the newest.
 #[derive(Clone, Debug, Default)]
 pub struct CatalogState {
     catalog: Option<Arc<Catalog>>,
@@ -42,22 +44,22 @@
 }
 
 impl CatalogState {
-    /// The catalog in force.
+    /// Returns the catalog in force, or nothing before the first one is adopted.
     #[must_use]
     pub fn catalog(&self) -> Option<&Arc<Catalog>> {
         self.catalog.as_ref()
     }
 
-    /// Version in force, 0 before any is known.
+    /// Returns the version in force, 0 before the first catalog is adopted.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.catalog.as_ref().map_or(0, |catalog| catalog.version)
     }
 
-    /// Takes over a catalog unless a newer one is in force.
+    /// Adopts a catalog unless a newer one is in force.
     ///
-    /// A stale replica or a peer that was cut off may offer an old version. Without this check a
-    /// route or key that was dropped would come back for a while.
+    /// A stale replica, or a peer that was partitioned, may offer an old version. Without this
+    /// check a deleted route or key would work again for a while.
     pub fn offer(&mut self, catalog: Catalog) -> Adoption {
         match catalog.version.cmp(&self.version()) {
             std::cmp::Ordering::Less => Adoption::Older,
@@ -69,9 +71,10 @@
         }
     }
 
-    /// Notes that nothing newer than `version` existed at `at`, by the store's own word.
+    /// Records that the store had no version newer than `version` at `at`.
     ///
-    /// Says nothing of the catalog in force when that is a newer one; returns whether it counted.
+    /// Returns whether this confirms the catalog in force: it does not when another version is in
+    /// force.
     pub fn confirm(&mut self, version: u64, at: BootMs) -> bool {
         if version != self.version() || self.catalog.is_none() {
             return false;
@@ -80,13 +83,14 @@
         true
     }
 
-    /// Milliseconds since the catalog was last known to be the newest.
+    /// Returns the milliseconds since the catalog was last confirmed, or nothing if it never was.
     #[must_use]
     pub fn age_ms(&self, now: BootMs) -> Option<u64> {
         self.confirmed_at.map(|at| now.since(at))
     }
 
-    /// Whether keys may be judged by this catalog.
+    /// Returns whether the catalog was confirmed within the last `bound_ms`, so that keys may be
+    /// checked.
     #[must_use]
     pub fn is_fresh(&self, now: BootMs, bound_ms: u64) -> bool {
         self.age_ms(now).is_some_and(|age_ms| age_ms <= bound_ms)
--- a/crates/core/src/direct/crash_table.rs
+++ b/crates/core/src/direct/crash_table.rs
@@ -1,11 +1,13 @@
-//! Requests under which backend servers have ended, as all entries together have seen it.
+//! Detects requests that crash backend servers, from what all entries together have observed.
 //!
-//! The fault that this answers: a request that ends each backend server that begins to run it, and comes
-//! back under another id at another entry. No entry sees enough of that alone.
+//! Such a request ends each backend server that starts to run it, and its caller retries it under
+//! another id at another entry. No single entry sees enough attempts, so entries exchange
+//! [`RequestReport`]s.
 //!
-//! Beside such a request others run, and their callers must not pay for it. So a request is refused only
-//! when backend servers have ended under it several times, and never if one has answered it: what is sent
-//! often, and is at work wherever something ends, is answered often too.
+//! Other requests run beside such a request and must not be refused for it. So a request is refused
+//! only after several backend servers have ended while they had it, and never once one has answered
+//! it. A harmless request that is sent often is present at many crashes, but it is also answered
+//! often.
 
 use super::{BackendServer, BootMs, RequestDigest};
 use indexmap::{IndexMap, IndexSet};
@@ -13,35 +15,36 @@
 use std::{fmt, mem};
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
-/// Backend servers that must have ended under a request that was at work there until it is refused.
-const MOST_ENDED: u32 = 3;
+/// Backend servers that must have ended while they ran a request until it is refused.
+const ENDED_TO_REFUSE: u32 = 3;
 
-/// What the end of a backend server counts against a request that was at work there.
+/// Weight of the end of a backend server that had begun to answer the request.
 const BEGUN_WEIGHT: u32 = 2;
 
-/// What it counts against one whose answer had no head. It may have waited there and be without fault; an
-/// engine may also end before the head has left.
-const UNBEGUN_WEIGHT: u32 = 1;
+/// Weight of the end of a backend server that had not sent a response head. The request may only
+/// have been queued there, but an engine may also crash before the head is sent.
+const NOT_BEGUN_WEIGHT: u32 = 1;
 
-/// Time for which a request is remembered after its last return.
+/// Time for which a request is remembered after it was last reported or refused.
 const KEPT_MS: u64 = 600_000;
 
-/// Requests that are remembered at most, about 10 KB as told to an entry that has just started.
-const MOST_REQUESTS: usize = 256;
+/// Most requests that are remembered; their reports to an entry that has just started take about 10
+/// KB.
+const MAX_REQUESTS: usize = 256;
 
-/// Time in which an answer is remembered at least; up to twice as long.
+/// Shortest time for which an answer is remembered; the longest is twice as much.
 const ANSWERS_KEPT_MS: u64 = 30_000;
 
-/// Answered requests remembered at a time, as a bound: an entry's part of a large fleet's load (42 a
-/// second) for more than that time.
-const MOST_ANSWERS: usize = 4_096;
+/// Most answered requests in one generation of [`RecentAnswers`]: enough for one entry's share of a
+/// large fleet's load (42 requests per second) over more than [`ANSWERS_KEPT_MS`].
+const MAX_ANSWERS: usize = 4_096;
 
-/// Names one incarnation of a backend server, shorter than its own name.
+/// Identifies one incarnation of a backend server in fewer bytes than its name and start time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct IncarnationDigest(pub u64);
 
 impl IncarnationDigest {
-    /// Digests the name and birth of a backend server.
+    /// Returns the digest of the name and start time of a backend server.
     #[must_use]
     pub fn of(server: &BackendServer) -> Self {
         let mut hasher = Xxh3::new();
@@ -57,44 +60,44 @@
     }
 }
 
-/// What was seen of a request.
+/// What was observed of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestObservation {
     /// A backend server ended while it had the request.
     BackendEnded {
-        /// The one that ended.
+        /// The incarnation that ended.
         incarnation: IncarnationDigest,
-        /// Whether the request was at work there.
+        /// Whether it had begun to answer the request.
         had_begun: bool,
     },
-    /// A backend server answered it.
+    /// A backend server answered the request.
     Answered,
 }
 
-/// What one entry tells others of a request.
+/// An observation of a request that one entry sends to the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestReport {
     /// The request.
     pub digest: RequestDigest,
-    /// What was seen of it.
+    /// What was observed.
     pub seen: RequestObservation,
-    /// How long ago, in milliseconds.
+    /// Age of the observation in milliseconds.
     pub age_ms: u64,
 }
 
-/// What came of a word.
+/// Result of [`CrashTable::note`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum ReportOutcome {
-    /// It says something new.
+    /// The report was new.
     New,
-    /// It was known, or is too old to matter.
+    /// The report was known already, or is too old to matter.
     Known,
-    /// This entry has seen the request answered: others are to be told.
+    /// This entry has seen the request answered, which it should report to the others.
     Contradicted,
 }
 
-/// Requests under which backend servers have ended.
+/// Requests that backend servers were running when they ended.
 #[derive(Clone, Debug, Default)]
 pub struct CrashTable {
     records: IndexMap<RequestDigest, Record>,
@@ -105,20 +108,21 @@
 struct Record {
     ended: IndexMap<IncarnationDigest, End>,
     answered_at: Option<BootMs>,
-    /// When anything was last heard of the request.
-    heard_at: BootMs,
+    /// When the request was last reported or refused.
+    last_reported_at: BootMs,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct End {
     at: BootMs,
     had_begun: bool,
-    /// Whether it is certain that the backend server has ended. What is not counts here, and is told to nobody.
+    /// Whether it is certain that the backend server ended. A suspected end counts at this entry
+    /// only and is not reported to others.
     is_certain: bool,
 }
 
 impl CrashTable {
-    /// Takes note of what this entry has seen, or another one says, of a request.
+    /// Records an observation of this entry, or one that another entry reported.
     pub fn note(&mut self, report: RequestReport, now: BootMs) -> ReportOutcome {
         let RequestReport { digest, seen, age_ms } = report;
         if age_ms >= KEPT_MS {
@@ -126,7 +130,7 @@
         }
         let at = now.before(age_ms);
         match seen {
-            RequestObservation::Answered => self.note_answered_elsewhere(digest, at),
+            RequestObservation::Answered => self.note_answer(digest, at),
             RequestObservation::BackendEnded { .. } if self.answers.contains(digest) => {
                 ReportOutcome::Contradicted
             }
@@ -147,9 +151,9 @@
         if record.answered_at.is_some_and(|answered_at| answered_at >= end.at) {
             return ReportOutcome::Known;
         }
-        record.heard_at = record.heard_at.max(end.at);
+        record.last_reported_at = record.last_reported_at.max(end.at);
         match record.ended.get_mut(&incarnation) {
-            Some(known) => known.join(end),
+            Some(known) => known.merge(end),
             None => {
                 record.ended.insert(incarnation, end);
                 ReportOutcome::New
@@ -157,9 +161,10 @@
         }
     }
 
-    /// Notes that a backend server may have ended while it had a request; returns whether that is new.
+    /// Records that a backend server may have ended while it had a request. Returns whether that is
+    /// new.
     ///
-    /// Until it is certain or retracted, the request is treated as if the backend server had ended.
+    /// Until the end is confirmed or retracted, the request is treated as if the server had ended.
     #[must_use]
     pub fn suspect(
         &mut self,
@@ -173,7 +178,8 @@
             && self.note_end(digest, incarnation, end) == ReportOutcome::New
     }
 
-    fn note_answered_elsewhere(&mut self, digest: RequestDigest, at: BootMs) -> ReportOutcome {
+    /// Records an answer, which drops the ends that were observed before it.
+    fn note_answer(&mut self, digest: RequestDigest, at: BootMs) -> ReportOutcome {
         let Some(record) = self.records.get_mut(&digest) else { return ReportOutcome::Known };
         let ended = record.ended.len();
         record.ended.retain(|_, end| end.at > at);
@@ -181,15 +187,16 @@
         if record.ended.len() < ended { ReportOutcome::New } else { ReportOutcome::Known }
     }
 
-    /// Notes that a backend server answered a request. Returns whether others are to be told, because one
-    /// was thought to have ended under it.
+    /// Records that a backend server answered a request. Returns whether the other entries should
+    /// be told, because an end was recorded for the request.
     #[must_use]
     pub fn note_answered(&mut self, digest: RequestDigest, now: BootMs) -> bool {
         self.answers.add(digest, now);
-        self.note_answered_elsewhere(digest, now) == ReportOutcome::New
+        self.note_answer(digest, now) == ReportOutcome::New
     }
 
-    /// Takes back that a backend server may have ended under a request, unless that is certain by now.
+    /// Withdraws the suspicion that a backend server ended while it had a request, unless it was
+    /// confirmed.
     pub fn retract(&mut self, digest: RequestDigest, incarnation: IncarnationDigest) {
         let Some(record) = self.records.get_mut(&digest) else { return };
         record.ended.retain(|known, end| *known != incarnation || end.is_certain);
@@ -198,38 +205,39 @@
         }
     }
 
-    /// Whether a request is not to be sent any more.
+    /// Returns whether a request must no longer be sent to backend servers.
     #[must_use]
     pub fn is_refused(&self, digest: RequestDigest) -> bool {
         self.records.get(&digest).is_some_and(Record::is_refused)
     }
 
-    /// Notes that a request was refused, so that it stays known for as long as it keeps coming.
+    /// Records that a request was refused, so that it stays remembered while callers keep sending
+    /// it.
     pub fn note_refused(&mut self, digest: RequestDigest, now: BootMs) {
         if let Some(record) = self.records.get_mut(&digest) {
-            record.heard_at = now;
+            record.last_reported_at = now;
         }
     }
 
-    /// Backend servers that have ended under a request.
+    /// Returns the number of backend servers that ended while they had a request.
     #[must_use]
     pub fn ended_server_count(&self, digest: RequestDigest) -> usize {
         self.records.get(&digest).map_or(0, |record| record.ended.len())
     }
 
-    /// Requests that are refused.
+    /// Returns the number of requests that are refused.
     #[must_use]
     pub fn refused_count(&self) -> usize {
         self.records.values().filter(|record| record.is_refused()).count()
     }
 
-    /// Everything that is known, for an entry that may lack some of it.
+    /// Returns reports of everything that is certain, for an entry that may lack some of it.
     #[must_use]
     pub fn reports(&self, now: BootMs) -> Vec<RequestReport> {
         self.records.iter().flat_map(|(digest, record)| record.reports(*digest, now)).collect()
     }
 
-    /// A sum over what is known that is the same at entries that know the same.
+    /// Returns a checksum over the certain ends, which is equal at entries that know the same ones.
     #[must_use]
     pub fn checksum(&self) -> u64 {
         let ends = self.records.iter().flat_map(|(digest, record)| {
@@ -245,38 +253,38 @@
         .fold(0, |sum, hash| sum ^ hash)
     }
 
-    /// Forgets what has not been heard of for long.
+    /// Drops requests and answers that are older than their retention time.
     pub fn expire(&mut self, now: BootMs) {
-        self.records.retain(|_, record| now.since(record.heard_at) < KEPT_MS);
+        self.records.retain(|_, record| now.since(record.last_reported_at) < KEPT_MS);
         self.answers.expire(now);
     }
 
-    /// Makes room for a further request by forgetting one that is not refused, if there is one, and was
-    /// heard of longest ago.
+    /// Makes room for a further request: drops the one reported longest ago, and a refused one only
+    /// if all are refused.
     fn make_room(&mut self, digest: RequestDigest) {
-        if self.records.len() < MOST_REQUESTS || self.records.contains_key(&digest) {
+        if self.records.len() < MAX_REQUESTS || self.records.contains_key(&digest) {
             return;
         }
-        let worth = |record: &Record| (record.is_refused(), record.heard_at);
-        let least = self.records.iter().min_by_key(|(_, record)| worth(record));
-        if let Some(least) = least.map(|(digest, _)| *digest) {
-            self.records.swap_remove(&least);
+        let retention_rank = |record: &Record| (record.is_refused(), record.last_reported_at);
+        let evicted = self.records.iter().min_by_key(|(_, record)| retention_rank(record));
+        if let Some(evicted) = evicted.map(|(digest, _)| *digest) {
+            self.records.swap_remove(&evicted);
         }
     }
 }
 
 impl End {
-    /// Takes over what a further word says of the same end.
+    /// Merges a further report of the same end.
     ///
-    /// Two requests of one content may have been there, of which one had begun.
-    fn join(&mut self, other: Self) -> ReportOutcome {
-        let joined = Self {
+    /// Two requests with the same content may have been there, one of which had begun.
+    fn merge(&mut self, other: Self) -> ReportOutcome {
+        let merged = Self {
             had_begun: self.had_begun || other.had_begun,
             is_certain: self.is_certain || other.is_certain,
             ..*self
         };
-        let is_known = (joined.had_begun, joined.is_certain) == (self.had_begun, self.is_certain);
-        *self = joined;
+        let is_known = (merged.had_begun, merged.is_certain) == (self.had_begun, self.is_certain);
+        *self = merged;
         if is_known { ReportOutcome::Known } else { ReportOutcome::New }
     }
 }
@@ -287,8 +295,8 @@
     }
 
     fn is_refused(&self) -> bool {
-        let weight = |end: &End| if end.had_begun { BEGUN_WEIGHT } else { UNBEGUN_WEIGHT };
-        self.ended.values().map(weight).sum::<u32>() >= MOST_ENDED * BEGUN_WEIGHT
+        let weight = |end: &End| if end.had_begun { BEGUN_WEIGHT } else { NOT_BEGUN_WEIGHT };
+        self.ended.values().map(weight).sum::<u32>() >= ENDED_TO_REFUSE * BEGUN_WEIGHT
     }
 
     fn reports(&self, digest: RequestDigest, now: BootMs) -> impl Iterator<Item = RequestReport> {
@@ -309,18 +317,19 @@
     }
 }
 
-/// Requests that were answered here lately, in two sets of which the older is dropped.
+/// Requests that were recently answered at this entry, in two generations; the older one is dropped
+/// when the newer one is full or old enough.
 #[derive(Clone, Debug, Default)]
 struct RecentAnswers {
     newer: IndexSet<RequestDigest>,
     older: IndexSet<RequestDigest>,
-    turned_at: BootMs,
+    rotated_at: BootMs,
 }
 
 impl RecentAnswers {
     fn add(&mut self, digest: RequestDigest, now: BootMs) {
-        if self.newer.len() >= MOST_ANSWERS {
-            self.turn(now);
+        if self.newer.len() >= MAX_ANSWERS {
+            self.rotate(now);
         }
         self.newer.insert(digest);
     }
@@ -330,13 +339,13 @@
     }
 
     fn expire(&mut self, now: BootMs) {
-        if now.since(self.turned_at) >= ANSWERS_KEPT_MS {
-            self.turn(now);
+        if now.since(self.rotated_at) >= ANSWERS_KEPT_MS {
+            self.rotate(now);
         }
     }
 
-    fn turn(&mut self, now: BootMs) {
+    fn rotate(&mut self, now: BootMs) {
         self.older = mem::take(&mut self.newer);
-        self.turned_at = now;
+        self.rotated_at = now;
     }
 }
--- a/crates/core/src/direct/event_splitter.rs
+++ b/crates/core/src/direct/event_splitter.rs
@@ -1,32 +1,33 @@
-//! Cuts a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into whole events.
 
 use bytes::{Bytes, BytesMut};
 
-/// One whole event, as the backend server wrote it.
+/// One whole event, byte for byte as the backend server sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its bytes, the blank line at its end included.
+    /// Its bytes, including the blank line that ends it.
     pub bytes: Bytes,
-    /// The number that it carries, if any.
+    /// Its numeric `id` field, if it has one.
     pub id: Option<u64>,
 }
 
-/// Collects bytes and gives whole events.
+/// Buffers received bytes and returns whole events.
 ///
-/// A backend server may stop in the middle of an event. If the torn part reached the caller, the
-/// continuation from another backend server could not be joined to it without a repeat or a gap.
+/// A backend server may stop in the middle of an event. If the incomplete part were forwarded to
+/// the caller, the stream could not be resumed from another backend server without repeated or
+/// missing bytes.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
 }
 
 impl EventSplitter {
-    /// Adds bytes as they arrived.
+    /// Appends received bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole event.
+    /// Removes and returns the next whole event, or nothing if none is complete.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = event_end(&self.pending)?;
         let bytes = self.pending.split_to(end).freeze();
@@ -34,27 +35,29 @@
         Some(StreamEvent { bytes, id })
     }
 
-    /// Bytes of an event that is not whole.
+    /// Returns the number of buffered bytes that do not form a whole event yet.
     #[must_use]
     pub fn incomplete_bytes(&self) -> usize {
         self.pending.len()
     }
 }
 
-/// Finds the end of the first event: a blank line, with any of the line ends of the format.
+/// Returns the length of the first event, which ends with a blank line (LF or CRLF line endings).
 fn event_end(bytes: &[u8]) -> Option<usize> {
-    let unix = find(bytes, b"\n\n").map(|start| start + 2);
-    let dos = find(bytes, b"\r\n\r\n").map(|start| start + 4);
-    match (unix, dos) {
-        (Some(unix), Some(dos)) => Some(unix.min(dos)),
-        (unix, dos) => unix.or(dos),
+    let lf = find(bytes, b"\n\n").map(|start| start + 2);
+    let crlf = find(bytes, b"\r\n\r\n").map(|start| start + 4);
+    match (lf, crlf) {
+        (Some(lf), Some(crlf)) => Some(lf.min(crlf)),
+        (lf, crlf) => lf.or(crlf),
     }
 }
 
+/// Returns the position of the first occurrence of `pattern`.
 fn find(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
     bytes.windows(pattern.len()).position(|window| window == pattern)
 }
 
+/// Returns the numeric value of the `id` field of an event.
 fn event_id(event: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(event).ok()?;
     text.lines().find_map(|line| line.strip_prefix("id:"))?.trim().parse().ok()
--- a/crates/core/src/direct/group_availability.rs
+++ b/crates/core/src/direct/group_availability.rs
@@ -1,43 +1,45 @@
-//! Whether a group makes passes, and when one that stands is expected back.
+//! Detects whether a model group makes progress, and estimates when a group that does not will
+//! recover.
 //!
-//! The load that this answers: a rank of a group falls silent, or all machines lose power. All ranks
-//! stall, then turn every request away until the group has formed anew, for 2 s and more. Requests that
-//! are sent meanwhile use up the tries of their callers, who all come back at once to a group that has
-//! just opened. So an entry sends one request now and then to see whether the group is back, and lets
-//! the others wait or come back later.
+//! When a rank of a group stops responding, or all instances lose power, all ranks stall and then
+//! reject every request until the group has formed again, for 2 s or more. Requests sent meanwhile
+//! would use up the attempts of their callers, who would then all retry at the moment of recovery.
+//! So an entry sends a single request now and then as a probe, and lets the others wait or retry
+//! later.
 
 use super::BootMs;
 
-/// Time without an event of any open stream from which a group counts as standing: several slow passes.
-const NO_EVENT_MS: u64 = 500;
+/// Time without an event of any open stream after which a group counts as stalled: several slow
+/// passes.
+const STALLED_AFTER_MS: u64 = 500;
 
-/// Pause between requests that are sent to see whether a group that turns requests away is back. Each
-/// costs a try of one caller; a caller's first event is late by this much at most.
-const PROBE_MS: u64 = 80;
+/// Time between probes of a group that rejects requests. Each probe uses up an attempt of one
+/// caller; a longer interval delays the first events after the recovery by up to that much.
+const PROBE_INTERVAL_MS: u64 = 80;
 
-/// The same while a group only stalls. A request that is sent then hangs until the stall ends.
-const STALLED_PROBE_MS: u64 = 400;
+/// Time between probes of a stalled group. A probe sent then hangs until the stall ends.
+const STALLED_PROBE_INTERVAL_MS: u64 = 400;
 
-/// Time for the first pass of a group that has formed anew.
+/// Time for the first pass of a group that has formed again.
 const FIRST_PASS_MS: u64 = 150;
 
-/// Time after a group's return in which requests of the outage leave room: until the group has an even
-/// map, well before the callers that wait leave.
+/// Time after a group's recovery in which late requests get only part of its slots. It ends when
+/// the group has a balanced expert map, well before waiting callers give up.
 const RECOVERY_MS: u64 = 1_000;
 
-/// Part of a group's slots that late requests may take right after its return.
-const FIRST_LATE_PART: f64 = 0.35;
+/// Share of a group's slots that late requests may use right after its recovery.
+const FIRST_LATE_SHARE: f64 = 0.35;
 
-/// Part of its caller's patience after which a late request may take all the room that others may: the rest,
-/// 0.8 s, is enough for some passes in a backend server's queue.
-const LATE_PATIENCE_PART: f64 = 0.5;
+/// Fraction of its caller's patience after which a late request may use all slots. The rest, 0.8 s,
+/// is enough for some passes in a backend server's queue.
+const LATE_PATIENCE_SHARE: f64 = 0.5;
 
-/// What the operators and the platform say of how a group fails.
+/// Configured durations of the phases of a group outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutageDurations {
-    /// Time for which all ranks stall when one is gone.
+    /// Time for which all ranks stall after one is lost.
     pub stall_ms: u64,
-    /// Time that a group takes to form anew.
+    /// Time that a group takes to form again.
     pub forming_ms: u64,
 }
 
@@ -45,100 +47,105 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum SendPermission {
-    /// It may.
+    /// The request may be sent.
     Allowed,
-    /// The group stands; this request may be sent to see whether it is back.
+    /// The group is unavailable; this request may be sent as a probe.
     Probe,
-    /// The group stands.
+    /// The group is unavailable, and no probe is due.
     Unavailable {
-        /// When it is expected back.
+        /// When the group is expected to recover.
         expected_back_at: BootMs,
-        /// When to ask again.
+        /// When the next probe is due.
         retry_at: BootMs,
     },
 }
 
-/// What one entry has seen of the group of a service.
+/// The availability of the group of a service, as one entry observes it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct GroupAvailability {
-    /// When a stream last gave an event.
+    /// When any stream last got an event.
     newest_event_at: Option<BootMs>,
-    /// Since when this entry waits for anything from the group.
+    /// When a request was sent while no other was open, or was last found accepted after a
+    /// rejection.
     waiting_since: Option<BootMs>,
-    /// Since when the group turns requests away, by its own word.
-    broken_at: Option<BootMs>,
-    /// When the group was last found to be back.
-    back_since: Option<BootMs>,
+    /// When the group began to reject requests, until it is found to have recovered.
+    rejecting_since: Option<BootMs>,
+    /// When the group was last found to have recovered.
+    recovered_at: Option<BootMs>,
+    /// When the next probe is due.
     probe_at: BootMs,
 }
 
 impl GroupAvailability {
-    /// Notes that a request is sent while `open` others are open.
+    /// Records that a request is sent while `open` others are open.
     pub const fn note_sent(&mut self, now: BootMs, open: u32) {
         if open == 0 {
             self.waiting_since = Some(now);
         }
     }
 
-    /// Notes an event of a stream: the group makes passes.
+    /// Records an event of a stream, which shows that the group makes progress.
     pub const fn note_event(&mut self, now: BootMs) {
         self.newest_event_at = Some(now);
-        self.note_back(now);
+        self.note_recovered(now);
     }
 
-    /// Notes that a request was neither answered nor turned away for a moment: a group that is broken
-    /// turns requests away at once.
+    /// Records that a request was neither answered nor rejected for a moment, which shows that the
+    /// group no longer rejects requests: it would do so at once.
     pub const fn note_accepted(&mut self, now: BootMs) {
-        if self.broken_at.is_some() {
-            self.note_back(now);
+        if self.rejecting_since.is_some() {
+            self.note_recovered(now);
             self.waiting_since = Some(now);
         }
     }
 
-    const fn note_back(&mut self, now: BootMs) {
-        if self.broken_at.take().is_some() {
-            self.back_since = Some(now);
+    /// Records the recovery of a group that rejected requests.
+    const fn note_recovered(&mut self, now: BootMs) {
+        if self.rejecting_since.take().is_some() {
+            self.recovered_at = Some(now);
         }
     }
 
-    /// Whether the group has come back a moment ago.
+    /// Returns whether the group recovered less than `RECOVERY_MS` ago.
     #[must_use]
     pub fn is_recovering(&self, now: BootMs) -> bool {
-        self.recovered_part(now) < 1.0
+        self.recovered_share(now) < 1.0
     }
 
-    /// Part of its slots that a group gives to a request that is late already, whose caller has used up
-    /// `patience_used` of its patience, 1 being all of it.
+    /// Returns the share of the group's slots that a late request may use.
     ///
-    /// When a group is back, hundreds of them wait for it, and it still has the map that it was formed
-    /// with, by which passes take three times as long as by an even one. All at once they take every
-    /// slot, and whoever comes then is late too, for 2 s and more. But a fresh request that waits is late at
-    /// worst, and a late one whose caller leaves is lost, so those that have waited for long leave no room.
+    /// `patience_used` is the fraction of its caller's patience that is used up. When a group
+    /// recovers, hundreds of late requests wait for it, and with its initial expert map passes take
+    /// three times as long as with a balanced one. If all were sent at once, they would take every
+    /// slot and make new requests late for 2 s or more. But a new request that waits is late at
+    /// worst, whereas a late one is lost when its caller gives up, so the share grows to 1 as the
+    /// caller's patience runs out.
     #[must_use]
     pub fn late_share(&self, now: BootMs, patience_used: f64) -> f64 {
-        let recovered_part = self.recovered_part(now);
-        let first_part = FIRST_LATE_PART + (1.0 - FIRST_LATE_PART) * recovered_part;
-        first_part.max(patience_used / LATE_PATIENCE_PART).min(1.0)
+        let recovered_share = self.recovered_share(now);
+        let first_share = FIRST_LATE_SHARE + (1.0 - FIRST_LATE_SHARE) * recovered_share;
+        first_share.max(patience_used / LATE_PATIENCE_SHARE).min(1.0)
     }
 
-    /// How far a group that was away has come since its return, 1 when that is over.
-    fn recovered_part(&self, now: BootMs) -> f64 {
-        let Some(back_since) = self.back_since else { return 1.0 };
-        (now.since(back_since) as f64 / RECOVERY_MS as f64).min(1.0)
+    /// Returns the elapsed fraction of the recovery period, 1 when it is over.
+    fn recovered_share(&self, now: BootMs) -> f64 {
+        let Some(recovered_at) = self.recovered_at else { return 1.0 };
+        (now.since(recovered_at) as f64 / RECOVERY_MS as f64).min(1.0)
     }
 
-    /// Notes that a rank turned a request away. Returns whether the group stands, rather than that one
-    /// rank is full.
+    /// Records that a rank rejected a request. Returns whether the whole group is unavailable,
+    /// rather than just that rank being full.
     pub fn note_rejected(&mut self, now: BootMs) -> bool {
-        let makes_passes = self.newest_event_at.is_some_and(|at| now.since(at) <= NO_EVENT_MS);
-        if !makes_passes && self.broken_at.is_none() {
-            self.broken_at = Some(now);
-            self.probe_at = now.after(PROBE_MS);
+        let makes_progress =
+            self.newest_event_at.is_some_and(|at| now.since(at) <= STALLED_AFTER_MS);
+        if !makes_progress && self.rejecting_since.is_none() {
+            self.rejecting_since = Some(now);
+            self.probe_at = now.after(PROBE_INTERVAL_MS);
         }
-        !makes_passes
+        !makes_progress
     }
 
-    /// Whether one more request may be sent while `open` are open.
+    /// Returns whether one more request may be sent while `open` requests are open.
     pub fn send_permission(
         &mut self,
         now: BootMs,
@@ -155,7 +162,8 @@
         SendPermission::Unavailable { expected_back_at, retry_at: self.probe_at }
     }
 
-    /// When a group that stands is expected back; nothing when it makes passes as far as is known.
+    /// Returns when an unavailable group is expected to recover, or nothing if the group is
+    /// available as far as this entry knows.
     #[must_use]
     pub fn expected_back_at(
         &self,
@@ -166,7 +174,7 @@
         self.unavailability(now, open, outage).map(|(expected_back_at, _)| expected_back_at)
     }
 
-    /// When a group that stands is expected back, and the pause between probes.
+    /// Returns when an unavailable group is expected to recover, and the time between probes.
     fn unavailability(
         &self,
         now: BootMs,
@@ -174,20 +182,23 @@
         outage: OutageDurations,
     ) -> Option<(BootMs, u64)> {
         let OutageDurations { stall_ms, forming_ms } = outage;
-        if let Some(broken_at) = self.broken_at {
-            return Some((expected(now, broken_at, forming_ms), PROBE_MS));
+        if let Some(rejecting_since) = self.rejecting_since {
+            return Some((expected_recovery(now, rejecting_since, forming_ms), PROBE_INTERVAL_MS));
         }
         let since = self.newest_event_at.max(self.waiting_since)?;
-        let is_stalled = open > 0 && now.since(since) > NO_EVENT_MS;
-        is_stalled.then(|| (expected(now, since, stall_ms + forming_ms), STALLED_PROBE_MS))
+        let is_stalled = open > 0 && now.since(since) > STALLED_AFTER_MS;
+        is_stalled.then(|| {
+            (expected_recovery(now, since, stall_ms + forming_ms), STALLED_PROBE_INTERVAL_MS)
+        })
     }
 }
 
-/// When a group is back that has stood `since`, usually for `usual_ms`.
+/// Returns when a group that is unavailable `since` is expected to recover, usually after
+/// `usual_ms`.
 ///
-/// Of one that is away for longer nothing is known but for how long already; it may well be as long
-/// again.
-fn expected(now: BootMs, since: BootMs, usual_ms: u64) -> BootMs {
-    let usual_at = since.after(usual_ms + FIRST_PASS_MS);
-    if usual_at > now { usual_at } else { now.after(now.since(since)) }
+/// If that time is over, the outage so far is the only known estimate, so as much time again is
+/// assumed.
+fn expected_recovery(now: BootMs, since: BootMs, usual_ms: u64) -> BootMs {
+    let usual_recovery_at = since.after(usual_ms + FIRST_PASS_MS);
+    if usual_recovery_at > now { usual_recovery_at } else { now.after(now.since(since)) }
 }
--- a/crates/core/src/direct/mod.rs
+++ b/crates/core/src/direct/mod.rs
@@ -1,24 +1,32 @@
-//! Requests that go straight from an entry to a backend server, without an agent between them.
+//! Decisions of an entry that sends requests straight to backend servers, without an agent between.
 //!
 //! A fleet may hold backend servers beside which no agent runs, or whose agents may all be lost at
-//! once. An entry then talks to the backend server itself and must judge alone what became of each
-//! attempt.
+//! once. An entry then talks to the backend server itself and must judge alone whether an attempt
+//! has run.
 //!
-//! - [`Catalog`] says what callers may ask for; [`CatalogState`] knows how old that word is, and
-//!   [`max_catalog_age_for_keys_ms`] until when keys are judged by it.
-//! - [`BackendTable`] holds the backend servers; [`BackendTable::choose`] chooses among them.
-//! - [`RetryBudget`] bounds second sends; [`judge_attempt`] tells what an attempt proves.
-//! - [`GroupAvailability`] tells whether a group makes passes; [`event_wait_deadline`], [`retry_after_ms`] and
-//!   [`urgency`] say what becomes of requests while it does not, and in which order after that.
-//! - [`PassTracker`] tells how long a group's passes take, and how many requests may begin in the next one.
-//! - [`EventSplitter`] cuts an event stream into whole events, so that it can be resumed.
-//! - [`RequestDigest`] tells a request that comes back from a fresh one.
-//! - [`CrashTable`] tells which requests end the backend servers that run them.
-//! - [`BackendLimits`] holds what backend servers in need take from all entries together; [`LimitGrants`] and
-//!   [`LimitPermits`] share it among them.
+//! - [`Catalog`] holds the routes, services, teams and limits of the operators' configuration;
+//!   [`CatalogState`] tracks how recently it was confirmed, and [`max_catalog_age_for_keys_ms`]
+//!   bounds the age up to which API keys are checked against it.
+//! - [`BackendTable`] holds the backend servers; [`BackendTable::choose`] selects one for a
+//!   request.
+//! - [`RetryBudget`] bounds retries; [`judge_attempt`] classifies how an attempt ended.
+//! - [`GroupAvailability`] detects whether a model group makes progress; [`event_wait_deadline`],
+//!   [`retry_after_ms`] and [`urgency`] set what happens to requests while it does not, and in
+//!   which order they run afterwards.
+//! - [`PassTracker`] measures the passes of a group and limits how many requests may begin in the
+//!   next one.
+//! - [`Admission`] bounds the requests that an entry keeps open at the backend servers of a
+//!   service.
+//! - [`EventSplitter`] splits an event stream into whole events, so that it can be resumed.
+//! - [`RequestDigest`] identifies requests with the same content, such as a caller's retry.
+//! - [`CrashTable`] finds requests that crash the backend servers that run them.
+//! - [`BackendLimits`] holds the request rates that overloaded backend servers announce;
+//!   [`LimitGrants`] and [`LimitPermits`] share each rate among all entries.
 //! - [`PeerTable`] holds the other processes of the fleet.
 //!
-//! Moments are in [`BootMs`], which also counts the time in which the machine was suspended.
+//! A *pass* is one step of a model group: all ranks run it together, and it gives every running
+//! stream one event. Moments are [`BootMs`], a clock that also counts the time for which the
+//! instance was suspended.
 
 mod admission;
 mod attempt_end;
--- a/crates/core/src/direct/peer_table.rs
+++ b/crates/core/src/direct/peer_table.rs
@@ -1,4 +1,4 @@
-//! The other processes of the fleet, as far as they are known.
+//! The other processes of the fleet that this one knows of, from its seeds and by gossip.
 
 use super::BootMs;
 use indexmap::IndexMap;
@@ -7,29 +7,29 @@
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
-/// Span without word after which a peer is no longer named to others.
+/// Time without news of a peer after which it is dropped and no longer passed on to others.
 ///
-/// Thirty rounds of the exchange of members: the word that a process lives reaches nearly all of a large fleet
-/// in fewer, and a machine that freezes for some seconds stays known.
+/// This is thirty rounds of gossip. News of a process reaches nearly all of a large fleet in fewer,
+/// and an instance that freezes for some seconds stays known.
 const FORGET_AFTER_MS: u64 = 60_000;
 
-/// Span without word after which a peer no longer counts as one among whom something is split. One that was
-/// taken away would otherwise keep its part for as long as it is remembered.
+/// Time without news of a peer after which it no longer counts as live. A process that was removed
+/// would otherwise keep its share of divided limits until it is dropped.
 const LIVE_MS: u64 = 25_000;
 
-/// Most peers kept: more than the entries of a large fleet (400).
-const MOST_PEERS: usize = 512;
+/// Most peers kept, which is more than the entries of a large fleet (400).
+const MAX_PEERS: usize = 512;
 
-/// One other process.
+/// Another process of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Where it answers.
+    /// Address at which it answers.
     pub address: SocketAddr,
-    /// When it was last heard of, here or by whoever named it.
+    /// When it was last known to be alive, directly or by report of another peer.
     pub last_seen_at: BootMs,
 }
 
-/// Peers by address, beside the fixed seeds.
+/// The known peers by address, and the configured seeds.
 #[derive(Clone, Debug, Default)]
 pub struct PeerTable {
     seeds: Vec<SocketAddr>,
@@ -38,7 +38,7 @@
 }
 
 impl PeerTable {
-    /// Begins with the seeds, of which `own` is this process's address, if it has one.
+    /// Creates a table with the seeds and no peers; `own` is this process's address, if it has one.
     #[must_use]
     pub fn new(seeds: &[SocketAddr], own: Option<SocketAddr>) -> Self {
         Self { seeds: seeds.to_vec(), peers: IndexMap::new(), own }
@@ -49,7 +49,7 @@
         self.seeds = seeds.to_vec();
     }
 
-    /// Notes that a peer lived at `last_seen_at`; returns whether it was not known.
+    /// Records that a peer was alive at `last_seen_at`. Returns whether it was added to the table.
     pub fn note(&mut self, address: SocketAddr, last_seen_at: BootMs) -> bool {
         if Some(address) == self.own {
             return false;
@@ -58,14 +58,14 @@
             peer.last_seen_at = peer.last_seen_at.max(last_seen_at);
             return false;
         }
-        if self.peers.len() >= MOST_PEERS {
+        if self.peers.len() >= MAX_PEERS {
             return false;
         }
         self.peers.insert(address, Peer { address, last_seen_at });
         true
     }
 
-    /// Drops peers without word; returns them.
+    /// Removes peers that were not seen for long, and returns their addresses.
     pub fn expire(&mut self, now: BootMs) -> Vec<SocketAddr> {
         let is_old = |peer: &Peer| now.since(peer.last_seen_at) > FORGET_AFTER_MS;
         let old = self.peers.values().filter(|peer| is_old(peer)).map(|peer| peer.address);
@@ -74,15 +74,16 @@
         old
     }
 
-    /// Peers that were heard of.
+    /// Returns the known peers.
     pub fn peers(&self) -> impl Iterator<Item = &Peer> {
         self.peers.values()
     }
 
-    /// So many of them that were heard of last, or all if they are fewer.
+    /// Returns the `count` peers that were seen most recently, or all if there are fewer.
     ///
-    /// Each process is heard of directly by one other in each round. What is named to others has to travel from
-    /// there before it is forgotten; the same ones each time would leave the others unknown.
+    /// In each round only one process sees a given peer directly, and the news has to spread from
+    /// there before the peer is dropped. Always reporting the same peers would leave the others
+    /// unknown.
     #[must_use]
     pub fn most_recent(&self, count: usize) -> Vec<Peer> {
         let mut peers: Vec<Peer> = self.peers.values().copied().collect();
@@ -91,43 +92,43 @@
         peers
     }
 
-    /// Number of peers that live, as far as is known.
+    /// Returns the number of peers that were seen recently enough to count as live.
     #[must_use]
     pub fn live_count(&self, now: BootMs) -> usize {
-        let is_living = |peer: &&Peer| now.since(peer.last_seen_at) <= LIVE_MS;
-        self.peers.values().filter(is_living).count()
+        let is_live = |peer: &&Peer| now.since(peer.last_seen_at) <= LIVE_MS;
+        self.peers.values().filter(is_live).count()
     }
 
-    /// Number of peers that were heard of.
+    /// Returns the number of known peers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// Whether no peer was heard of.
+    /// Returns whether no peer is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
 
-    /// All that may be asked: known peers, and seeds that were not heard of.
+    /// Returns the addresses that can be asked: known peers, and seeds that are not among them.
     #[must_use]
     pub fn candidates(&self) -> Vec<SocketAddr> {
         let seeds = self.seeds.iter().copied().filter(|seed| Some(*seed) != self.own);
-        let unheard = seeds.filter(|seed| !self.peers.contains_key(seed));
-        self.peers.keys().copied().chain(unheard).collect()
+        let unknown = seeds.filter(|seed| !self.peers.contains_key(seed));
+        self.peers.keys().copied().chain(unknown).collect()
     }
 
-    /// So many of them at random, or all if they are fewer.
+    /// Returns `count` random candidates, or all if there are fewer.
     #[must_use]
     pub fn sample(&self, count: usize, random: &mut impl Rng) -> Vec<SocketAddr> {
         self.candidates().into_iter().sample(random, count)
     }
 
-    /// The peer to ask next, at random.
+    /// Returns a random candidate to ask next.
     ///
-    /// By turns all processes that were started together would ask the same peer at the same time, and what
-    /// is heard of one of them would not reach the others before it is forgotten.
+    /// In round-robin order, processes that were started together would ask the same peer at the
+    /// same time, and news of a process would not reach the others before it is dropped.
     #[must_use]
     pub fn random_peer(&self, random: &mut impl Rng) -> Option<SocketAddr> {
         self.sample(1, random).pop()
--- a/crates/core/src/direct/quiet_ranks.rs
+++ b/crates/core/src/direct/quiet_ranks.rs
@@ -1,115 +1,122 @@
-//! Which ranks are quiet: none of the streams that run there goes on, while those of other ranks do.
+//! Detects quiet ranks: none of their running streams gets events while those of other ranks do.
 //!
-//! All ranks of a group make each pass together, and each pass gives every stream that runs an event. A rank from
-//! which none comes is on a machine that is frozen or cut off. What lies there unrun is begun when the machine wakes,
-//! and its callers have left by then. The agent that leads tells entries of a machine that it does not hear, but it
-//! cannot tell many frozen machines from a broken link of its own.
+//! All ranks of a group run each pass together, and each pass gives every running stream an event.
+//! So a rank without events is on an instance that is frozen or partitioned. Requests queued there
+//! start only when the instance resumes, after their callers have given up. The leader of the group
+//! reports agents that it cannot reach, but it cannot tell many frozen instances from a broken link
+//! of its own.
 
 use super::BootMs;
 use super::backend_table::{BackendServer, BackendTable, Row};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Streams without events from which a rank counts as quiet: a single one may have been preempted.
+/// Fewest running streams for a rank to count as quiet: a single one may have been preempted.
 const QUIET_STREAMS: u32 = 2;
 
-/// Passes that other ranks have made since. Events of one pass may look like those of two, by the ways they take.
+/// Fewest passes seen at other ranks since its last event. Network delays can make the events of
+/// one pass look like those of two.
 const QUIET_PASSES: u64 = 3;
 
-/// Time without events beside that: several passes.
+/// Shortest time since its last event: several passes.
 const QUIET_MS: u64 = 250;
 
-/// Time for which a rank that streams have left for it stays quiet: about as long as machines freeze.
+/// Time for which a rank counts as quiet after a stream timed out there: about as long as instances
+/// freeze.
 const QUIET_KEPT_MS: u64 = 2_000;
 
-/// Time since the last event of a stream up to which something has run at a rank lately: several slow passes.
-const LATELY_MS: u64 = 1_000;
+/// Time since its last event up to which a rank has recently run a stream: several slow passes.
+const RECENT_MS: u64 = 1_000;
 
-/// A rank that an entry has found quiet.
+/// A report of one entry to the others that it found a rank quiet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuietReport {
-    /// Where it listens.
+    /// Address of the rank.
     pub address: SocketAddr,
-    /// When it was found quiet, before now.
+    /// Time since it was found quiet, in milliseconds.
     pub age_ms: u64,
 }
 
-/// Streams of this entry at one backend server.
+/// This entry's streams at one backend server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Streams {
-    /// Those that have not given an event.
-    pub(super) unbegun: u32,
-    /// Those that have given one.
+    /// Streams that have not got an event.
+    pub(super) not_begun: u32,
+    /// Streams that have got an event.
     begun: u32,
-    /// When any of them last gave one, and how many passes of its group were seen by then.
+    /// When any of them last got an event.
     event_at: BootMs,
+    /// Number of passes of the group that were seen to end by then.
     event_pass: u64,
-    /// Until when the backend server counts as quiet, because streams left it for that here or elsewhere.
+    /// Until when the backend server counts as quiet because a stream timed out there, at this
+    /// entry or another.
     quiet_until: BootMs,
 }
 
 impl Row {
-    /// Whether a stream of this entry has gone on there a short time ago.
-    pub(super) fn has_run_lately(&self, now: BootMs) -> bool {
-        now.since(self.streams.event_at) <= LATELY_MS
+    /// Returns whether a stream of this entry recently got an event there.
+    pub(super) fn has_run_recently(&self, now: BootMs) -> bool {
+        now.since(self.streams.event_at) <= RECENT_MS
     }
 }
 
 impl BackendTable {
-    /// Counts a stream among the requests sent to a backend server.
+    /// Records that a request sent to a backend server is a stream.
     pub fn note_stream_sent(&mut self, server: &BackendServer) {
-        if let Some(row) = self.row_of(server) {
-            row.streams.unbegun += 1;
+        if let Some(row) = self.current_row_mut(server) {
+            row.streams.not_begun += 1;
         }
     }
 
-    /// Counts the first event of a stream.
+    /// Records the first event of a stream.
     pub fn note_stream_begun(&mut self, server: &BackendServer) {
-        if let Some(row) = self.row_of(server) {
-            row.streams.unbegun = row.streams.unbegun.saturating_sub(1);
+        if let Some(row) = self.current_row_mut(server) {
+            row.streams.not_begun = row.streams.not_begun.saturating_sub(1);
             row.streams.begun += 1;
         }
     }
 
-    /// Counts the end of a stream, which has given an event or not.
+    /// Records the end of a stream; `is_begun` tells whether it got an event.
     pub fn note_stream_ended(&mut self, server: &BackendServer, is_begun: bool) {
-        if let Some(row) = self.row_of(server) {
+        if let Some(row) = self.current_row_mut(server) {
             let streams = &mut row.streams;
-            let count = if is_begun { &mut streams.begun } else { &mut streams.unbegun };
+            let count = if is_begun { &mut streams.begun } else { &mut streams.not_begun };
             *count = count.saturating_sub(1);
         }
     }
 
-    /// Notes an event of a stream, when `passes` of its group were seen to end.
+    /// Records an event of a stream, when `passes` passes of its group were seen to end.
     pub fn note_event(&mut self, server: &BackendServer, passes: u64, now: BootMs) {
         if let Some(newest) = self.passes.get_mut(&server.service) {
             *newest = passes;
         } else {
             self.passes.insert(server.service.clone(), passes);
         }
-        if let Some(row) = self.row_of(server) {
+        if let Some(row) = self.current_row_mut(server) {
             row.streams.event_at = now;
             row.streams.event_pass = passes;
             row.streams.quiet_until = BootMs(0);
         }
     }
 
-    /// Notes that a stream leaves a backend server from which nothing comes. Returns what other entries are to be
-    /// told.
+    /// Records that a stream timed out at a backend server.
     ///
-    /// As its streams leave there is ever less to tell a quiet rank by, and new work would be sent there.
+    /// If the backend server is quiet, it counts as quiet for some time. Otherwise the evidence
+    /// would vanish as its streams move away, and new work would be sent there. Returns the report
+    /// for other entries if the state is new.
     pub fn note_timed_out(&mut self, server: &BackendServer, now: BootMs) -> Option<QuietReport> {
         let is_quiet = self.row(server).is_some_and(|row| self.is_quiet(row, now));
-        let row = self.row_of(server).filter(|_| is_quiet)?;
+        let row = self.current_row_mut(server).filter(|_| is_quiet)?;
         let was_known = row.streams.quiet_until > now;
         row.streams.quiet_until = now.after(QUIET_KEPT_MS);
         (!was_known).then_some(QuietReport { address: server.address, age_ms: 0 })
     }
 
-    /// Takes another entry's word for a quiet rank. Returns whether it is news.
+    /// Applies another entry's report of a quiet rank. Returns whether it was news.
     ///
-    /// An entry with few streams there would find it out too late for its own. One that got an event since then
-    /// knows better: only the other's way there is broken.
+    /// An entry with few streams at the rank would notice too late by itself. A report is ignored
+    /// if this entry got an event from the rank since: then only the other entry's path to the rank
+    /// is broken.
     pub fn note_quiet_report(&mut self, report: QuietReport, now: BootMs) -> bool {
         let found_at = now.before(report.age_ms);
         let until = found_at.after(QUIET_KEPT_MS);
@@ -124,13 +131,14 @@
         is_news
     }
 
-    /// Whether none of the streams that run at a rank goes on, while those of other ranks do.
+    /// Returns whether a rank is quiet: its running streams get no events while those of other
+    /// ranks do.
     pub(super) fn is_quiet(&self, row: &Row, now: BootMs) -> bool {
         let streams = &row.streams;
         let newest = self.passes.get(&row.server.service).copied().unwrap_or(0);
-        let may_go_on = streams.begun < QUIET_STREAMS
+        let may_progress = streams.begun < QUIET_STREAMS
             || newest < streams.event_pass + QUIET_PASSES
             || now.since(streams.event_at) <= QUIET_MS;
-        !may_go_on || streams.quiet_until > now
+        !may_progress || streams.quiet_until > now
     }
 }
--- a/crates/core/src/direct/request_digest.rs
+++ b/crates/core/src/direct/request_digest.rs
@@ -1,39 +1,41 @@
-//! Tells whether two requests ask for the same thing.
+//! Identifies requests with the same content.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use xxhash_rust::xxh3::Xxh3;
 
-/// What makes two requests the same.
+/// The parts of a request that identify its content.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestIdentity<'a> {
-    /// Who sends it: a team, or the address of a caller without a key.
+    /// Its sender: a team, or the address of a caller without a key.
     pub caller: &'a str,
-    /// Its method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The host that it names.
+    /// Requested host.
     pub host: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// The whole body.
+    /// The complete body.
     pub body: &'a [u8],
 }
 
 /// Digest of a [`RequestIdentity`], the same at every entry.
 ///
-/// Each attempt of a caller has an id of its own, so a request that comes back, there or at another entry,
-/// is known by this alone. Callers do not share one: who cannot send with another's key cannot speak for it.
+/// Each retry of a caller has a new request id, so only this digest identifies a retried request,
+/// at the same or another entry. It includes the caller, so that one caller cannot get the requests
+/// of another refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestDigest(pub u128);
 
 impl RequestDigest {
-    /// Digests what makes a request the same as another one.
+    /// Returns the digest of a request.
     #[must_use]
     pub fn of(identity: &RequestIdentity<'_>) -> Self {
         let RequestIdentity { caller, method, host, target, body } = identity;
         let mut hasher = Xxh3::new();
         for part in [caller, method, host, target] {
-            // Without its length the end of one part could pass for the beginning of the next.
+            // Without the lengths, the end of one part could be taken for the beginning of the
+            // next.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part.as_bytes());
         }
--- a/crates/core/src/direct/retry_budget.rs
+++ b/crates/core/src/direct/retry_budget.rs
@@ -1,25 +1,26 @@
-//! A bound on second sends that needs no exchange between entries.
+//! A retry budget that needs no communication between entries.
 
 use super::BootMs;
 use indexmap::IndexMap;
 use std::collections::VecDeque;
 
-/// How much of the fleet's budget one entry takes by itself.
+/// One entry's share of the fleet's retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// Span over which sends are counted.
+    /// Length of the sliding window over which sends are counted.
     pub window_ms: u64,
-    /// Second sends for each first send.
+    /// Retries allowed per first send.
     pub ratio: f64,
-    /// Second sends that need no first send, at this entry.
+    /// Retries allowed at this entry in addition to the ratio.
     pub slack: f64,
 }
 
-/// Counts first and second sends by service.
+/// Counts first sends and retries by service.
 ///
-/// The budget holds over all entries. Every entry keeps the ratio against its own first sends and a
-/// fixed part of the slack, so the sum holds also while entries cannot hear each other. Without it
-/// a fault that hits every request would multiply the load when capacity is short.
+/// The budget holds over all entries. Every entry applies the ratio to its own first sends and has
+/// a fixed share of the slack, so the total holds even while entries are partitioned from each
+/// other. Without a budget, a fault that affects every request would multiply the load when
+/// capacity is short.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: RetryBudgetSettings,
@@ -33,24 +34,24 @@
 }
 
 impl RetryBudget {
-    /// Begins without sends.
+    /// Creates a budget with no sends counted.
     #[must_use]
     pub fn new(settings: RetryBudgetSettings) -> Self {
         Self { settings, services: IndexMap::new() }
     }
 
-    /// Changes the part that this entry takes.
+    /// Changes this entry's share of the budget.
     pub fn set(&mut self, settings: RetryBudgetSettings) {
         self.settings = settings;
     }
 
-    /// Counts a request for a service.
+    /// Counts the first send of a request for a service.
     pub fn note_first_send(&mut self, now: BootMs, service: &str) {
         let sends = self.sends(now, service);
         sends.first.push_back(now);
     }
 
-    /// Takes one second send out of the budget; says whether there was one left.
+    /// Spends one retry if the budget allows it. Returns whether it did.
     #[must_use]
     pub fn try_spend(&mut self, now: BootMs, service: &str) -> bool {
         let allows_retry = self.allows_retry(now, service);
@@ -60,7 +61,7 @@
         allows_retry
     }
 
-    /// Whether a second send is left in the budget.
+    /// Returns whether the budget allows another retry.
     #[must_use]
     pub fn allows_retry(&mut self, now: BootMs, service: &str) -> bool {
         let RetryBudgetSettings { ratio, slack, .. } = self.settings;
@@ -69,21 +70,22 @@
         sends.retries.len() as f64 + 1.0 <= allowed
     }
 
-    /// Second sends in the present window.
+    /// Returns the number of retries in the window as of the last use of the budget.
     #[must_use]
     pub fn retry_count(&self, service: &str) -> usize {
         self.services.get(service).map_or(0, |sends| sends.retries.len())
     }
 
+    /// Returns the sends of a service that are within the window.
     fn sends(&mut self, now: BootMs, service: &str) -> &mut Sends {
         if !self.services.contains_key(service) {
             self.services.insert(service.to_owned(), Sends::default());
         }
         let begin = now.before(self.settings.window_ms);
         let sends = &mut self.services[service];
-        for moments in [&mut sends.first, &mut sends.retries] {
-            while moments.front().is_some_and(|at| *at < begin) {
-                moments.pop_front();
+        for times in [&mut sends.first, &mut sends.retries] {
+            while times.front().is_some_and(|at| *at < begin) {
+                times.pop_front();
             }
         }
         sends
--- a/crates/core/src/direct/waiting.rs
+++ b/crates/core/src/direct/waiting.rs
@@ -1,90 +1,103 @@
-//! What to do with a request that cannot be sent now: let it wait, or tell its caller when to come back.
+//! Rules for requests that cannot be sent at once: how long they wait, when their callers should
+//! retry, and how urgent they are afterwards.
 //!
-//! The load that this answers: the seconds in which a group is away and those after. A caller waits for
-//! the first event of a stream for a few seconds and then leaves for good; one that is refused at once
-//! comes back after the time it was told, but only a few times, and only if that is a small part of the
-//! time that it has left.
+//! They apply while a group is unavailable and in the seconds after. A caller waits a few seconds
+//! for the first event of a stream and then gives up for good. A caller that is refused at once
+//! retries after the time in the refusal, but only a few times, and only if that time is a small
+//! part of its remaining timeout.
 
 use super::{BootMs, Route};
 
-/// Least time for which callers wait for the next event of a stream before they leave for good.
-const LEAST_PATIENCE_MS: u64 = 2_000;
-/// The same as a multiple of the time within which a first event is on time.
+/// Shortest time for which callers wait for the next event of a stream before they give up for
+/// good.
+const MIN_PATIENCE_MS: u64 = 2_000;
+/// Shortest patience of callers, as a multiple of the target for the first event.
 const PATIENCE_TARGETS: u64 = 4;
-/// The same as a multiple of the longest pause between events that is on time.
+/// Shortest patience of callers, as a multiple of the target for the gap between events.
 const PATIENCE_GAPS: u64 = 8;
 
-/// Part of a caller's patience that is left for the first event, as a divisor: at the sizes in use
-/// 0.4 s, twice what a first event takes in a group that is even.
+/// Fraction of a caller's patience that is reserved for the first event, as a divisor. With common
+/// targets this is 0.4 s, twice what a first event takes in a balanced group.
 const FIRST_EVENT_DIVISOR: u64 = 5;
 
-/// Part of the time that a caller has left for which it waits before it comes back, as a divisor.
-const COME_BACK_DIVISOR: u64 = 3;
+/// Longest time for which callers wait before a retry, as a divisor of their remaining timeout.
+const RETRY_AFTER_DIVISOR: u64 = 3;
 
-/// Time by which the moment at which a caller comes back may lie before what it was told.
-const COME_BACK_MARGIN_MS: u64 = 20;
+/// Margin below the longest wait of callers, since a caller may retry this much earlier than it was
+/// told.
+const RETRY_AFTER_MARGIN_MS: u64 = 20;
 
-/// Least and most time over which callers are spread that come back to one group: some passes, and
-/// about as long as the shortest outages last (2 s).
-const LEAST_SPREAD_MS: u64 = 300;
-/// See [`LEAST_SPREAD_MS`].
-const MOST_SPREAD_MS: u64 = 1_500;
+/// Shortest time over which retries to one group are spread: some passes.
+const MIN_SPREAD_MS: u64 = 300;
+/// Longest time over which retries to one group are spread: about as long as the shortest outages
+/// (2 s).
+const MAX_SPREAD_MS: u64 = 1_500;
 
-/// Requests after which the longest time that callers give is taken for what they give at first.
-const SEEN_ENOUGH: u32 = 20;
+/// Number of requests after which the longest timeout seen counts as the initial timeout of
+/// callers.
+const MIN_SAMPLES: u32 = 20;
 
-/// The last urgency that backend servers tell apart.
+/// The least urgent value that backend servers distinguish.
 const LEAST_URGENT: u8 = 9;
 
-/// The lowest priority up to which each has two urgencies.
-const MOST_SPLIT_PRIORITY: u8 = LEAST_URGENT / 2;
+/// Largest priority number of a catalog for which each priority has two urgencies.
+const MAX_SPLIT_PRIORITY: u8 = LEAST_URGENT / 2;
 
-/// Part of the time for a first event that a request waits for a pass in which it may begin, as a
-/// divisor. In a group that is even a first event takes less than half of its time.
+/// Longest wait for a pass with room for a request, as a divisor of the target for the first event.
+/// In a balanced group a first event takes less than half of its target.
 const PASS_WAIT_DIVISOR: u64 = 2;
 
-/// Part of its caller's patience after which a late request counts as urgent as one that can be on time.
-const HASTENED_PART: f64 = 0.5;
+/// Fraction of its caller's patience after which a late request is as urgent as one that can be on
+/// time.
+const ESCALATION_SHARE: f64 = 0.5;
 
-/// Time that a request may have used up before it reaches an entry for the first time.
-const FRESH_MS: u64 = 50;
+/// Time that a new request may take to reach an entry.
+const TRANSIT_MS: u64 = 50;
 
-/// Until when a stream's caller waits for an event before it leaves, when it got the last one, or sent
-/// its request, at `since`; a part of it is left for the event.
+/// Returns until when a stream may wait to be sent before its caller gives up.
+///
+/// `since` is when the caller got the last event, or sent its request. Part of the caller's
+/// patience is reserved for the next event to arrive.
 #[must_use]
 pub fn event_wait_deadline(route: &Route, since: BootMs) -> BootMs {
     let gap_ms = route.target_gap_ms.unwrap_or(0) * PATIENCE_GAPS;
-    let patience_ms = LEAST_PATIENCE_MS.max(route.target_latency_ms * PATIENCE_TARGETS).max(gap_ms);
+    let patience_ms = MIN_PATIENCE_MS.max(route.target_latency_ms * PATIENCE_TARGETS).max(gap_ms);
     since.after(patience_ms - patience_ms / FIRST_EVENT_DIVISOR)
 }
 
-/// Part of its patience that a stream's caller has used up by `now`, when it got the last event, or sent its
-/// request, at `since`; 1 when a wait for it has to end.
+/// Returns the fraction of its patience that a stream's caller has used up by `now`.
+///
+/// `since` is when the caller got the last event, or sent its request. The result is 1 at the
+/// deadline of [`event_wait_deadline`].
 #[must_use]
 pub fn patience_used(route: &Route, since: BootMs, now: BootMs) -> f64 {
     let patience_ms = event_wait_deadline(route, since).since(since).max(1);
     now.since(since) as f64 / patience_ms as f64
 }
 
-/// When a caller with `left_ms` left is told to come back, for a group that is back in `back_in_ms`.
+/// Returns after how many milliseconds a refused caller should retry.
 ///
-/// `draw`, from 0 up to 1, spreads callers, so that they do not come all at once; a group that was away
-/// for some seconds needs about as long for those that it has missed. A caller waits for no more than a
-/// part of the time that it has left; it is late in any case, so the end of that part is no worse for it
-/// than the beginning.
+/// `back_in_ms` is the time until the group is expected to recover, and `left_ms` the remaining
+/// timeout of the caller. `draw`, a random number from 0 up to 1, spreads the retries: after an
+/// outage of some seconds a group needs about as long again for the requests that it has missed.
+/// Callers only wait for a fraction of their remaining timeout. They are late in any case, so a
+/// retry at the end of that time is no worse than one at its beginning.
 #[must_use]
 pub fn retry_after_ms(back_in_ms: u64, draw: f64, left_ms: u64) -> u64 {
-    let most_ms = (left_ms / COME_BACK_DIVISOR).saturating_sub(COME_BACK_MARGIN_MS).max(1);
-    let spread_ms = most_ms.saturating_sub(back_in_ms).clamp(LEAST_SPREAD_MS, MOST_SPREAD_MS);
-    // Later than the caller waits is too late; all at the end of that time would come at once.
-    let first_ms = back_in_ms.min(most_ms.saturating_sub(spread_ms));
-    (first_ms + (spread_ms as f64 * draw) as u64).min(most_ms)
+    let max_ms = (left_ms / RETRY_AFTER_DIVISOR).saturating_sub(RETRY_AFTER_MARGIN_MS).max(1);
+    let spread_ms = max_ms.saturating_sub(back_in_ms).clamp(MIN_SPREAD_MS, MAX_SPREAD_MS);
+    // A later retry than the caller waits for never happens; without the spread all would come at
+    // once.
+    let earliest_ms = back_in_ms.min(max_ms.saturating_sub(spread_ms));
+    (earliest_ms + (spread_ms as f64 * draw) as u64).min(max_ms)
 }
 
-/// Until when a request that entered its wait at `entered_at` waits for a pass in which it may begin.
+/// Returns until when a request that began to wait at `entered_at` waits for a pass with room for
+/// it.
 ///
-/// One that is late already gives way to those that are not. One that was `sent` before does not wait: its
-/// backend server went silent or turned it away, after most of its caller's patience.
+/// A late request waits longer, since requests that can still be on time go first. A request that
+/// was `sent` before does not wait: its backend server timed out or rejected it, after most of its
+/// caller's patience was used up.
 #[must_use]
 pub fn pass_wait_deadline(route: &Route, entered_at: BootMs, is_late: bool, sent: bool) -> BootMs {
     let target_ms = route.target_latency_ms;
@@ -95,35 +108,39 @@
     }
 }
 
-/// How much time callers of one route give their requests at first.
+/// Estimates the timeout with which callers of one route first send their requests.
 ///
-/// A request that comes back after a refusal has less time left than it had. That tells it from a fresh
-/// one, which can still be answered on time and can come back once more.
+/// A request that is retried after a refusal has less time left than that. This distinguishes it
+/// from a new request, which can still be answered on time and can be retried once more.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InitialTimeouts {
-    longest_ms: u64,
-    seen: u32,
+    longest_timeout_ms: u64,
+    samples: u32,
 }
 
 impl InitialTimeouts {
-    /// Notes a request with `left_ms` left, and tells how much time it has used up before.
+    /// Records a request with `left_ms` left, and returns how many milliseconds it used up before.
     pub fn note(&mut self, left_ms: u64, route: &Route) -> u64 {
-        self.seen = self.seen.saturating_add(1);
-        self.longest_ms = self.longest_ms.max(left_ms);
-        let is_known = self.seen >= SEEN_ENOUGH;
-        let first_ms =
-            if is_known { self.longest_ms } else { self.longest_ms.max(route.timeout_ms) };
-        let used_ms = first_ms - left_ms;
-        if used_ms <= FRESH_MS { 0 } else { used_ms }
+        self.samples = self.samples.saturating_add(1);
+        self.longest_timeout_ms = self.longest_timeout_ms.max(left_ms);
+        let is_known = self.samples >= MIN_SAMPLES;
+        let initial_timeout_ms = if is_known {
+            self.longest_timeout_ms
+        } else {
+            self.longest_timeout_ms.max(route.timeout_ms)
+        };
+        let used_ms = initial_timeout_ms - left_ms;
+        if used_ms <= TRANSIT_MS { 0 } else { used_ms }
     }
 }
 
-/// Urgency at a backend server, 0 first: by the priority of its team or route, then those that can
-/// still be on time before those that cannot.
+/// Returns the urgency of a request at a backend server; 0 is the most urgent.
 ///
-/// After an outage hundreds of requests are late whatever is done. Fresh ones that queue behind them
-/// would be late as well, for seconds after the group is back. `lowest_priority` is that of the whole
-/// catalog: where there are too many priorities for two urgencies each, they alone count.
+/// Requests are ordered by the priority of their team or route, then those that can still be on
+/// time go before those that cannot. After an outage hundreds of requests are late in any case. New
+/// requests queued behind them would be late as well, for seconds after the recovery.
+/// `lowest_priority` is the least urgent one of the whole catalog: with too many priorities for two
+/// urgencies each, only the priority counts.
 #[must_use]
 pub fn urgency(
     priority: u8,
@@ -132,22 +149,24 @@
     route: &Route,
     is_resumed: bool,
 ) -> u8 {
-    if lowest_priority > MOST_SPLIT_PRIORITY {
+    if lowest_priority > MAX_SPLIT_PRIORITY {
         return priority.min(LEAST_URGENT);
     }
     let is_late = is_resumed || (route.kind.is_stream() && used_ms >= route.target_latency_ms);
     priority * 2 + u8::from(is_late)
 }
 
-/// The urgency of a request whose caller has used up `patience_used` of its patience, or that was `sent`
-/// before, in place of the one by priority and lateness alone.
+/// Returns the urgency of a request, raised to that of one on time if its caller is about to give
+/// up.
 ///
-/// While a group is busy late requests may never begin. A late answer is worth about half of one on time,
-/// and a caller that leaves gets none; what was sent before has no further try. If it lay at a frozen
-/// machine, a caller that leaves also leaves work behind that nobody waits for.
+/// It is raised when the caller has used up enough of its patience (`patience_used`), or when the
+/// request was `sent` before and has no attempt left. While a group is busy, late requests may
+/// otherwise never begin. A late answer is worth about half of one on time, and a caller that gives
+/// up gets none. If the request was queued at a frozen instance, a caller that gives up also leaves
+/// work there that nobody waits for.
 #[must_use]
 pub fn escalated_urgency(urgency: u8, lowest_priority: u8, patience_used: f64, sent: bool) -> u8 {
-    let is_split = lowest_priority <= MOST_SPLIT_PRIORITY;
-    let is_last_chance = sent || patience_used >= HASTENED_PART;
+    let is_split = lowest_priority <= MAX_SPLIT_PRIORITY;
+    let is_last_chance = sent || patience_used >= ESCALATION_SHARE;
     if is_split && is_last_chance { urgency - urgency % 2 } else { urgency }
 }
