--- a/crates/core/tests/named_limits.rs
+++ b/crates/core/tests/backend_limits.rs
@@ -1,4 +1,4 @@
-//! What is believed of backend servers that name how many requests they take.
+//! Tests which announced limit of a backend server an entry applies.
 
 use googletest::prelude::*;
 use hickorycross_core::direct::{BackendLimits, BootMs, IncarnationDigest, LimitReport};
@@ -6,50 +6,55 @@
 const SERVER: IncarnationDigest = IncarnationDigest(1);
 const NOW: BootMs = BootMs(1_000_000);
 
-/// Words on one backend server in the order in which they arrive.
+/// Reports on one backend server in the order in which they arrive.
 struct Case {
     name: &'static str,
-    /// Thousandths of a request a second, and the word's age.
+    /// Limit in thousandths of a request per second, and age of the report in milliseconds.
     reports: &'static [(Option<u64>, u64)],
-    believed: Option<u64>,
-    /// Whether others are to be told of the last word.
+    applied: Option<u64>,
+    /// Whether the last report is to be sent to other entries.
     is_news: bool,
 }
 
 const CASES: &[Case] = &[
-    Case { name: "never in need", reports: &[(None, 0)], believed: None, is_news: false },
-    Case { name: "in need", reports: &[(Some(1_100), 0)], believed: Some(1_100), is_news: true },
+    Case { name: "never limited", reports: &[(None, 0)], applied: None, is_news: false },
+    Case { name: "limited", reports: &[(Some(1_100), 0)], applied: Some(1_100), is_news: true },
     Case {
-        name: "said again",
+        name: "repeated",
         reports: &[(Some(1_100), 9), (Some(1_100), 0)],
-        believed: Some(1_100),
+        applied: Some(1_100),
         is_news: false,
     },
     Case {
         name: "lowered",
         reports: &[(Some(1_100), 9), (Some(700), 0)],
-        believed: Some(700),
+        applied: Some(700),
         is_news: true,
     },
-    Case { name: "over", reports: &[(Some(1_100), 9), (None, 0)], believed: None, is_news: true },
     Case {
-        name: "an answer that was overtaken",
+        name: "limit withdrawn",
+        reports: &[(Some(1_100), 9), (None, 0)],
+        applied: None,
+        is_news: true,
+    },
+    Case {
+        name: "an older report that arrives late",
         reports: &[(Some(1_100), 5), (None, 9)],
-        believed: Some(1_100),
+        applied: Some(1_100),
         is_news: false,
     },
     Case {
-        name: "slight changes that add up",
+        name: "small changes that add up",
         reports: &[(Some(1_000), 9), (Some(960), 8), (Some(920), 7)],
-        believed: Some(920),
+        applied: Some(920),
         is_news: true,
     },
-    Case { name: "nothing at all", reports: &[(Some(0), 0)], believed: Some(0), is_news: true },
+    Case { name: "a limit of zero", reports: &[(Some(0), 0)], applied: Some(0), is_news: true },
 ];
 
-/// Guards against entries that go by an older word than another one has.
+/// Guards against entries that apply an older report than others have.
 #[gtest]
-fn the_newest_word_holds() {
+fn the_newest_report_applies() {
     for case in CASES {
         let mut limits = BackendLimits::default();
         let mut is_news = false;
@@ -59,7 +64,7 @@
             let report = LimitReport { incarnation, millirequests_per_s, age_ms };
             is_news = limits.note(report, NOW);
         }
-        expect_that!(limits.millirequests_per_s(SERVER), eq(case.believed), "{}", case.name);
+        expect_that!(limits.millirequests_per_s(SERVER), eq(case.applied), "{}", case.name);
         expect_that!(is_news, eq(case.is_news), "{}", case.name);
         let mut other = BackendLimits::default();
         for report in limits.reports(NOW) {
@@ -68,7 +73,7 @@
         expect_that!(
             other.checksum(),
             eq(limits.checksum()),
-            "{}: told to another entry",
+            "{}: sent to another entry",
             case.name
         );
     }
--- a/crates/core/tests/direct_keys.rs
+++ b/crates/core/tests/direct_keys.rs
@@ -1,78 +1,82 @@
-//! Until when keys are judged by the configuration in force, beside a store that goes deaf or away.
+//! Tests until when API keys are checked against the configuration in force when the store
+//! withholds notifications or becomes unreachable.
 
 use googletest::prelude::*;
 use hickorycross_core::direct::{BootMs, Catalog, CatalogState, max_catalog_age_for_keys_ms};
 
 const REVOKE_MS: u64 = 5_000;
 const WATCH_MS: u64 = 1_000;
-/// Time for which the store takes changes without telling its watchers, before it cuts them off.
-const DEAF_MS: u64 = 1_000;
+/// Time for which the store may accept changes without notifying its watchers before it disconnects
+/// them.
+const NOTIFY_DELAY_MS: u64 = 1_000;
 const ANSWER_MS: u64 = 4;
 const VERSION: u64 = 7;
 
-/// A store at one moment of which a key is taken away.
+/// A store in which a key is revoked around an outage.
 struct Case {
     name: &'static str,
-    /// When it begins to be deaf, and when it goes away for good.
-    deaf_from_ms: u64,
-    away_from_ms: u64,
-    /// When the key is taken away.
+    /// When it stops notifying its watchers.
+    silent_from_ms: u64,
+    /// When it becomes unreachable for good.
+    down_from_ms: u64,
+    /// When the key is revoked.
     revoked_at_ms: u64,
 }
 
 const CASES: &[Case] = &[
     Case {
-        name: "away before the change",
-        deaf_from_ms: u64::MAX,
-        away_from_ms: 10_000,
+        name: "down before the revocation",
+        silent_from_ms: u64::MAX,
+        down_from_ms: 10_000,
         revoked_at_ms: 10_001,
     },
     Case {
-        name: "deaf, and away when that ends",
-        deaf_from_ms: 10_000,
-        away_from_ms: 11_000,
+        name: "silent, then down",
+        silent_from_ms: 10_000,
+        down_from_ms: 11_000,
         revoked_at_ms: 10_001,
     },
     Case {
-        name: "deaf, and away in the middle",
-        deaf_from_ms: 10_000,
-        away_from_ms: 10_700,
+        name: "down while silent",
+        silent_from_ms: 10_000,
+        down_from_ms: 10_700,
         revoked_at_ms: 10_300,
     },
 ];
 
-/// The belief of an entry whose first watch is sent at `first_at_ms`, when nothing more comes.
-fn believe(case: &Case, first_at_ms: u64) -> CatalogState {
-    let mut belief = CatalogState::default();
-    let _ = belief.offer(Catalog { version: VERSION, ..Catalog::default() });
+/// Returns the catalog state of an entry whose first watch starts at `first_at_ms`, once the store
+/// sends nothing more.
+fn watch_store(case: &Case, first_at_ms: u64) -> CatalogState {
+    let mut state = CatalogState::default();
+    let _ = state.offer(Catalog { version: VERSION, ..Catalog::default() });
     let mut sent_at_ms = first_at_ms;
     loop {
         let end_at_ms = sent_at_ms + WATCH_MS;
-        let deaf_until_ms = case.deaf_from_ms.saturating_add(DEAF_MS);
-        let is_cut = (sent_at_ms..end_at_ms).contains(&deaf_until_ms);
-        let is_told = case.revoked_at_ms < case.deaf_from_ms && case.revoked_at_ms < end_at_ms;
-        if end_at_ms >= case.away_from_ms || is_cut || is_told {
-            return belief;
+        let silent_until_ms = case.silent_from_ms.saturating_add(NOTIFY_DELAY_MS);
+        let is_disconnected = (sent_at_ms..end_at_ms).contains(&silent_until_ms);
+        let is_notified =
+            case.revoked_at_ms < case.silent_from_ms && case.revoked_at_ms < end_at_ms;
+        if end_at_ms >= case.down_from_ms || is_disconnected || is_notified {
+            return state;
         }
-        belief.confirm(VERSION, BootMs(sent_at_ms));
+        state.confirm(VERSION, BootMs(sent_at_ms));
         sent_at_ms = end_at_ms + ANSWER_MS;
     }
 }
 
-/// Symptom: a request runs though its key was taken away longer ago than the bound allows.
+/// Guards against requests that run with a key revoked longer ago than the bound allows.
 ///
-/// Events: the store takes a key away while it tells its watchers nothing, and is lost after that.
-///
-/// Cause: a watch that heard nothing because it was deaf, taken for proof.
+/// The store revokes the key while it does not notify its watchers, and then fails. A watch without
+/// a change must not count as proof for that time.
 #[gtest]
 fn no_key_outlives_its_bound() {
     let bound_ms = max_catalog_age_for_keys_ms(REVOKE_MS, WATCH_MS);
     for case in CASES {
         for first_at_ms in 5_000..5_000 + WATCH_MS + ANSWER_MS {
-            let belief = believe(case, first_at_ms);
-            let dead_at = BootMs(case.revoked_at_ms + REVOKE_MS);
+            let state = watch_store(case, first_at_ms);
+            let revoked_at = BootMs(case.revoked_at_ms + REVOKE_MS);
             expect_false!(
-                belief.is_fresh(dead_at, bound_ms),
+                state.is_fresh(revoked_at, bound_ms),
                 "{}, watched from {first_at_ms}",
                 case.name
             );
@@ -80,25 +84,26 @@
     }
 }
 
-/// Symptom: callers with good keys are refused 1.5 s after the store is lost, of 5 s in which they may be served.
-///
-/// Events: the store is away for seconds; the last watch that ended was sent up to two of its spans before.
+/// Guards against callers with valid keys who are refused 1.5 s after the store fails, though they
+/// may be served for 5 s.
 ///
-/// Cause: the time for which a watch may be deaf, taken off though the watch is that long itself.
+/// The last completed watch started up to two watch lengths before the failure. Subtracting the
+/// notification delay on top, although the watch itself is that long, would make the bound too
+/// short.
 #[gtest]
-fn callers_are_served_for_half_of_the_bound_while_the_store_is_away() {
+fn callers_are_served_for_half_of_the_bound_while_the_store_is_down() {
     let case = &CASES[0];
     for first_at_ms in 5_000..5_000 + WATCH_MS + ANSWER_MS {
-        let belief = believe(case, first_at_ms);
-        let now = BootMs(case.away_from_ms + REVOKE_MS / 2 - 2 * ANSWER_MS);
+        let state = watch_store(case, first_at_ms);
+        let now = BootMs(case.down_from_ms + REVOKE_MS / 2 - 2 * ANSWER_MS);
         let bound_ms = max_catalog_age_for_keys_ms(REVOKE_MS, WATCH_MS);
-        expect_true!(belief.is_fresh(now, bound_ms), "watched from {first_at_ms}");
+        expect_true!(state.is_fresh(now, bound_ms), "watched from {first_at_ms}");
     }
 }
 
-/// A watch that is shorter than the store may be deaf is not believed as long.
+/// A watch shorter than the notification delay of the store confirms the catalog for less time.
 #[gtest]
-fn a_short_watch_is_believed_less() {
+fn a_short_watch_shortens_the_bound() {
     expect_that!(
         max_catalog_age_for_keys_ms(REVOKE_MS, 400),
         eq(max_catalog_age_for_keys_ms(REVOKE_MS, WATCH_MS) - 600)
--- a/crates/core/tests/direct_outage.rs
+++ b/crates/core/tests/direct_outage.rs
@@ -1,4 +1,4 @@
-//! What callers get while a group is away, and after that.
+//! Tests how requests are handled while a group is unavailable, and after its recovery.
 
 use googletest::prelude::*;
 use hickorycross_core::direct::{
@@ -24,139 +24,149 @@
     }
 }
 
-/// A rank falls silent at 10 s; its group turns requests away from 11.5 s on and is back at 12.2 s.
-fn outlook_at(now_ms: u64) -> GroupAvailability {
-    let mut outlook = GroupAvailability::default();
-    outlook.note_sent(BootMs(1_000), 0);
+/// Returns the availability at `now_ms` of a group in an outage.
+///
+/// A rank stops responding at 10 s. The group rejects requests from 11.5 s on and recovers at 12.2
+/// s.
+fn availability_at(now_ms: u64) -> GroupAvailability {
+    let mut availability = GroupAvailability::default();
+    availability.note_sent(BootMs(1_000), 0);
     for event_ms in (1_100..=10_000).step_by(50) {
-        outlook.note_event(BootMs(event_ms));
+        availability.note_event(BootMs(event_ms));
     }
     if now_ms >= 11_500 {
-        expect_true!(outlook.note_rejected(BootMs(11_500)));
+        expect_true!(availability.note_rejected(BootMs(11_500)));
     }
-    outlook
+    availability
 }
 
-struct StandingCase {
+struct RecoveryTimeCase {
     name: &'static str,
     now_ms: u64,
     open: u32,
     back_at_ms: Option<u64>,
 }
 
-/// Symptom: callers are sent back after times that have nothing to do with when the group is back.
-///
-/// Events: a rank falls silent; all ranks stall; then they turn requests away until the group has formed.
+/// Guards against retry times that do not match when the group recovers.
 ///
-/// Cause: one fixed time for all moments of an outage.
+/// A rank stops responding, all ranks stall, and then they reject requests until the group has
+/// formed again. The estimate has to follow these phases.
 #[gtest]
-fn a_group_is_expected_back_by_how_it_stands() {
+fn the_expected_recovery_follows_the_phase_of_the_outage() {
     let cases = [
-        StandingCase { name: "passes", now_ms: 10_400, open: 9, back_at_ms: None },
-        StandingCase { name: "stalls", now_ms: 10_600, open: 9, back_at_ms: Some(12_250) },
-        StandingCase { name: "nothing is open", now_ms: 10_600, open: 0, back_at_ms: None },
-        StandingCase { name: "broken", now_ms: 11_600, open: 0, back_at_ms: Some(12_250) },
-        StandingCase { name: "overdue", now_ms: 13_500, open: 0, back_at_ms: Some(15_500) },
+        RecoveryTimeCase { name: "making progress", now_ms: 10_400, open: 9, back_at_ms: None },
+        RecoveryTimeCase { name: "stalled", now_ms: 10_600, open: 9, back_at_ms: Some(12_250) },
+        RecoveryTimeCase { name: "no open requests", now_ms: 10_600, open: 0, back_at_ms: None },
+        RecoveryTimeCase { name: "rejecting", now_ms: 11_600, open: 0, back_at_ms: Some(12_250) },
+        RecoveryTimeCase { name: "overdue", now_ms: 13_500, open: 0, back_at_ms: Some(15_500) },
     ];
     for case in cases {
-        let outlook = outlook_at(case.now_ms);
-        let expected_back_at = outlook.expected_back_at(BootMs(case.now_ms), case.open, OUTAGE);
+        let availability = availability_at(case.now_ms);
+        let expected_back_at =
+            availability.expected_back_at(BootMs(case.now_ms), case.open, OUTAGE);
         expect_that!(expected_back_at, eq(case.back_at_ms.map(BootMs)), "{}", case.name);
     }
 }
 
-/// Symptom: hundreds of callers use up their tries on a group that turns all of them away.
-///
-/// Events: the group is broken for 0.7 s; 100 requests a second come; then it takes requests again.
+/// Guards against hundreds of callers who use up their attempts on a group that rejects all of
+/// them.
 ///
-/// Cause: sending each request to see for itself. One in 80 ms is enough to notice the return.
+/// The group rejects requests for 0.7 s while 100 requests per second arrive. One probe in 80 ms is
+/// enough to notice its recovery.
 #[gtest]
-fn few_requests_are_sent_to_a_broken_group() {
-    let mut outlook = outlook_at(11_500);
+fn few_requests_are_sent_to_a_rejecting_group() {
+    let mut availability = availability_at(11_500);
     let mut sent = 0;
     for now in (11_500..12_200).step_by(10).map(BootMs) {
-        match outlook.send_permission(now, 0, OUTAGE) {
+        match availability.send_permission(now, 0, OUTAGE) {
             SendPermission::Probe => {
                 sent += 1;
-                expect_true!(outlook.note_rejected(now));
+                expect_true!(availability.note_rejected(now));
             }
             SendPermission::Unavailable { retry_at, .. } => expect_that!(retry_at, gt(now)),
-            SendPermission::Allowed => panic!("it is broken"),
+            SendPermission::Allowed => panic!("the group rejects requests"),
         }
     }
     expect_that!(sent, all!(ge(7), le(9)));
-    outlook.note_accepted(BootMs(12_225));
-    expect_that!(outlook.send_permission(BootMs(12_226), 1, OUTAGE), eq(SendPermission::Allowed));
+    availability.note_accepted(BootMs(12_225));
+    expect_that!(
+        availability.send_permission(BootMs(12_226), 1, OUTAGE),
+        eq(SendPermission::Allowed)
+    );
 }
 
-/// Symptom: 2 s after a group is back, callers who come fresh are still late.
+/// Guards against new requests that are still late 2 s after the recovery of a group.
 ///
-/// Events: 250 requests that have waited are sent at once; they take every slot, and reading their
-/// prompts makes passes three times as long.
-///
-/// Cause: sending all that there is room for. Late requests get a third of the slots at first.
+/// If 250 waiting requests were sent at once, they would take every slot, and processing their
+/// prompts would make passes three times as long. So late requests get a third of the slots at
+/// first.
 #[gtest]
-fn late_requests_leave_room_after_an_outage() {
-    let mut outlook = outlook_at(11_500);
-    expect_that!(outlook.late_share(BootMs(11_600), 0.0), eq(1.0), "not back yet");
-    outlook.note_event(BootMs(12_200));
-    expect_that!(outlook.late_share(BootMs(12_200), 0.0), near(0.35, 0.01));
-    expect_that!(outlook.late_share(BootMs(12_700), 0.0), near(0.675, 0.01));
-    expect_that!(outlook.late_share(BootMs(13_200), 0.0), eq(1.0));
-    expect_that!(outlook.late_share(BootMs(12_200), 0.25), near(0.5, 0.01));
-    expect_that!(outlook.late_share(BootMs(12_200), 0.5), eq(1.0), "it waits no longer");
+fn late_requests_leave_slots_free_after_an_outage() {
+    let mut availability = availability_at(11_500);
+    expect_that!(availability.late_share(BootMs(11_600), 0.0), eq(1.0), "not recovered yet");
+    availability.note_event(BootMs(12_200));
+    expect_that!(availability.late_share(BootMs(12_200), 0.0), near(0.35, 0.01));
+    expect_that!(availability.late_share(BootMs(12_700), 0.0), near(0.675, 0.01));
+    expect_that!(availability.late_share(BootMs(13_200), 0.0), eq(1.0));
+    expect_that!(availability.late_share(BootMs(12_200), 0.25), near(0.5, 0.01));
+    expect_that!(
+        availability.late_share(BootMs(12_200), 0.5),
+        eq(1.0),
+        "its caller is about to give up"
+    );
 }
 
-/// A group of 63 ranks that has come back, and callers of it.
+/// A group of 63 ranks that has recovered, and its callers.
 struct Recovery {
     name: &'static str,
-    /// Callers that wait when the group is back, for up to so long.
+    /// Callers that wait when the group recovers.
     waiting: u64,
+    /// Longest time that they have waited.
     waited_ms: u64,
-    /// Callers that come fresh in a second.
-    fresh_per_s: u64,
-    /// Whether all of them can be served before they leave.
+    /// New callers per second.
+    new_per_s: u64,
+    /// Whether all callers can be served before they give up.
     serves_all: bool,
 }
 
 const SLOTS: usize = 630;
-/// Time that a stream keeps its slot: 23 events, a pass of 0.1 s each.
+/// Time that a stream uses its slot: 23 events in passes of 0.1 s.
 const STREAM_MS: u64 = 2_300;
-const BACK_AT_MS: u64 = 12_200;
+const RECOVERED_AT_MS: u64 = 12_200;
 
 impl Recovery {
-    /// When each caller came. Those that wait do not look for room in the order in which they came; here the
-    /// last ones do so first.
-    fn callers(&self) -> Vec<u64> {
+    /// Returns when each caller arrived. Waiting callers are not served in order of arrival; here
+    /// the latest are first.
+    fn arrivals(&self) -> Vec<u64> {
         let step_ms = self.waited_ms as f64 / self.waiting as f64;
-        let waiting = (0..self.waiting).map(|it| BACK_AT_MS - (it as f64 * step_ms) as u64);
-        let fresh = (0..3_000 * self.fresh_per_s / 1_000).map(|it| it * 1_000 / self.fresh_per_s);
-        waiting.chain(fresh.map(|after_ms| BACK_AT_MS + after_ms)).collect()
+        let waiting = (0..self.waiting).map(|it| RECOVERED_AT_MS - (it as f64 * step_ms) as u64);
+        let new = (0..3_000 * self.new_per_s / 1_000).map(|it| it * 1_000 / self.new_per_s);
+        waiting.chain(new.map(|after_ms| RECOVERED_AT_MS + after_ms)).collect()
     }
 
-    /// Callers that leave unserved.
-    fn play(&self) -> usize {
-        let mut outlook = outlook_at(11_500);
-        outlook.note_event(BootMs(BACK_AT_MS));
+    /// Returns the number of callers that give up without an answer.
+    fn simulate(&self) -> usize {
+        let mut availability = availability_at(11_500);
+        availability.note_event(BootMs(RECOVERED_AT_MS));
         let route = route();
-        let (mut callers, mut ends_ms) = (self.callers(), Vec::new());
+        let (mut callers, mut ends_ms) = (self.arrivals(), Vec::new());
         let mut lost = 0;
-        for now_ms in (BACK_AT_MS..BACK_AT_MS + 5_000).step_by(10) {
+        for now_ms in (RECOVERED_AT_MS..RECOVERED_AT_MS + 5_000).step_by(10) {
             let now = BootMs(now_ms);
             ends_ms.retain(|end_ms| *end_ms > now_ms);
-            callers.retain(|came_ms| {
-                let came = BootMs(*came_ms);
-                let waited_ms = now.since(came);
-                if now_ms < *came_ms {
+            callers.retain(|arrived_ms| {
+                let arrived = BootMs(*arrived_ms);
+                let waited_ms = now.since(arrived);
+                if now_ms < *arrived_ms {
                     return true;
                 }
-                if now > event_wait_deadline(&route, came) {
+                if now > event_wait_deadline(&route, arrived) {
                     lost += 1;
                     return false;
                 }
                 let is_late = waited_ms >= route.target_latency_ms;
-                let used = patience_used(&route, came, now);
-                let part = if is_late { outlook.late_share(now, used) } else { 1.0 };
+                let used = patience_used(&route, arrived, now);
+                let part = if is_late { availability.late_share(now, used) } else { 1.0 };
                 if ends_ms.len() as f64 >= SLOTS as f64 * part {
                     return true;
                 }
@@ -173,85 +183,100 @@
         name: "after 1 s",
         waiting: 220,
         waited_ms: 1_000,
-        fresh_per_s: 220,
+        new_per_s: 220,
         serves_all: true,
     },
     Recovery {
         name: "after 1.5 s",
         waiting: 330,
         waited_ms: 1_500,
-        fresh_per_s: 220,
+        new_per_s: 220,
         serves_all: true,
     },
     Recovery {
-        name: "more than there are slots for",
+        name: "more callers than slots",
         waiting: 900,
         waited_ms: 1_500,
-        fresh_per_s: 220,
+        new_per_s: 220,
         serves_all: false,
     },
 ];
 
-/// Symptom: callers who have waited for a group leave without an answer a moment after it is back, though it
-/// has slots free for them.
-///
-/// Events: a group is away for some seconds; hundreds of callers wait for it, others come.
+/// Guards against callers who give up shortly after the recovery although the group has free slots.
 ///
-/// Cause: room that is kept for those who come, from those who have no time left to wait for it.
+/// Slots kept free for new requests must not be withheld from callers that have no time left to
+/// wait.
 #[gtest]
-fn callers_who_have_waited_are_served_before_they_leave() {
+fn waiting_callers_are_served_before_they_give_up() {
     for recovery in RECOVERIES {
-        let lost = recovery.play();
+        let lost = recovery.simulate();
         expect_that!(lost == 0, eq(recovery.serves_all), "{}: {lost} lost", recovery.name);
     }
 }
 
-/// One rank that is full is no outage: others make passes.
+/// A rejection by one full rank is no outage while streams of the group get events.
 #[gtest]
-fn a_full_rank_is_not_a_broken_group() {
-    let mut outlook = outlook_at(10_000);
-    expect_false!(outlook.note_rejected(BootMs(10_100)));
-    expect_that!(outlook.send_permission(BootMs(10_110), 9, OUTAGE), eq(SendPermission::Allowed));
+fn a_full_rank_is_not_an_unavailable_group() {
+    let mut availability = availability_at(10_000);
+    expect_false!(availability.note_rejected(BootMs(10_100)));
+    expect_that!(
+        availability.send_permission(BootMs(10_110), 9, OUTAGE),
+        eq(SendPermission::Allowed)
+    );
 }
 
-struct ComeBackCase {
+struct RetryAfterCase {
     name: &'static str,
     back_in_ms: u64,
     left_ms: u64,
-    /// The times told with the least and the most draw.
-    told_ms: (u64, u64),
+    /// The results with the smallest and the largest draw.
+    retry_after_ms: (u64, u64),
 }
 
-/// Symptom: callers come back all at once, or too early, or never.
-///
-/// Events: all that a stall has held up is refused in one moment; each caller waits for a third of the
-/// time that it has left, and for no longer.
+/// Guards against callers who retry all at once, too early or never.
 ///
-/// Cause: one time for all, or one that the caller would not wait for.
+/// All requests held up by a stall are refused at the same moment, and each caller waits for at
+/// most a third of its remaining timeout.
 #[gtest]
-fn callers_come_back_spread_over_what_they_wait_for() {
+fn retries_are_spread_over_the_time_that_callers_wait() {
     let cases = [
-        ComeBackCase { name: "soon", back_in_ms: 700, left_ms: 8_000, told_ms: (700, 2_200) },
-        ComeBackCase { name: "late", back_in_ms: 2_500, left_ms: 8_000, told_ms: (2_346, 2_646) },
-        ComeBackCase {
+        RetryAfterCase {
+            name: "soon",
+            back_in_ms: 700,
+            left_ms: 8_000,
+            retry_after_ms: (700, 2_200),
+        },
+        RetryAfterCase {
+            name: "late",
+            back_in_ms: 2_500,
+            left_ms: 8_000,
+            retry_after_ms: (2_346, 2_646),
+        },
+        RetryAfterCase {
             name: "unknown",
             back_in_ms: 9_000,
             left_ms: 8_000,
-            told_ms: (2_346, 2_646),
+            retry_after_ms: (2_346, 2_646),
+        },
+        RetryAfterCase {
+            name: "little left",
+            back_in_ms: 700,
+            left_ms: 600,
+            retry_after_ms: (0, 180),
         },
-        ComeBackCase { name: "little left", back_in_ms: 700, left_ms: 600, told_ms: (0, 180) },
     ];
     for case in cases {
-        let told = |draw| retry_after_ms(case.back_in_ms, draw, case.left_ms);
-        let (least_ms, most_ms) = case.told_ms;
-        expect_that!(told(0.0), eq(least_ms), "{}", case.name);
-        expect_that!(told(0.999_999), all!(le(most_ms), ge(most_ms - 2)), "{}", case.name);
+        let delay_ms = |draw| retry_after_ms(case.back_in_ms, draw, case.left_ms);
+        let (least_ms, most_ms) = case.retry_after_ms;
+        expect_that!(delay_ms(0.0), eq(least_ms), "{}", case.name);
+        expect_that!(delay_ms(0.999_999), all!(le(most_ms), ge(most_ms - 2)), "{}", case.name);
     }
 }
 
-/// A caller that waits for a stream leaves after 2 s, four targets or eight pauses, whichever is longest.
+/// A caller gives up after 2 s, four first-event targets or eight gap targets, whichever is
+/// longest; a fifth of that is reserved for the event.
 #[gtest]
-fn a_stream_is_waited_for_as_long_as_its_caller_waits() {
+fn a_stream_waits_as_long_as_its_caller_does() {
     let since = BootMs(1_000);
     expect_that!(event_wait_deadline(&route(), since), eq(BootMs(2_600)));
     let slow = Route { target_latency_ms: 1_000, ..route() };
@@ -260,26 +285,33 @@
     expect_that!(event_wait_deadline(&pausing, since), eq(BootMs(4_200)));
 }
 
-/// Symptom: a fresh request waits behind hundreds that are late whatever is done.
-///
-/// Events: requests come back after a refusal with less time left than they had; others come fresh.
+/// Guards against new requests queued behind hundreds that are late in any case.
 ///
-/// Cause: one urgency for both. A less urgent team is never served before a more urgent one for it.
+/// Requests retried after a refusal have less time left than new ones, which distinguishes them. A
+/// less urgent team must still never be served before a more urgent one.
 #[gtest]
-fn fresh_requests_go_before_late_ones_of_their_team() {
-    let mut deadlines = InitialTimeouts::default();
-    expect_that!(deadlines.note(5_900, &route()), eq(2_100), "by the route's time at first");
+fn new_requests_go_before_late_ones_of_their_team() {
+    let mut timeouts = InitialTimeouts::default();
+    expect_that!(
+        timeouts.note(5_900, &route()),
+        eq(2_100),
+        "compared with the timeout of the route at first"
+    );
     for _ in 0..30 {
-        expect_that!(deadlines.note(8_000, &route()), eq(0));
+        expect_that!(timeouts.note(8_000, &route()), eq(0));
     }
-    expect_that!(deadlines.note(7_980, &route()), eq(0), "the way here takes its time");
-    let back_ms = deadlines.note(6_900, &route());
-    expect_that!(back_ms, eq(1_100));
+    expect_that!(timeouts.note(7_980, &route()), eq(0), "transit time is ignored");
+    let retried_ms = timeouts.note(6_900, &route());
+    expect_that!(retried_ms, eq(1_100));
     let of = |priority, used_ms| urgency(priority, 2, used_ms, &route(), false);
-    expect_that!(of(1, 0), lt(of(1, back_ms)));
-    expect_that!(of(1, back_ms), lt(of(2, 0)));
-    expect_that!(of(1, 0), lt(urgency(1, 2, 0, &route(), true)), "its pauses are broken already");
+    expect_that!(of(1, 0), lt(of(1, retried_ms)));
+    expect_that!(of(1, retried_ms), lt(of(2, 0)));
+    expect_that!(
+        of(1, 0),
+        lt(urgency(1, 2, 0, &route(), true)),
+        "a resumed stream is late already"
+    );
     let of_many = |priority, used_ms| urgency(priority, 9, used_ms, &route(), false);
-    expect_that!(of_many(5, 1_000), lt(of_many(6, 0)), "many priorities stay apart");
+    expect_that!(of_many(5, 1_000), lt(of_many(6, 0)), "priority decides with many priorities");
     expect_that!(of_many(5, 1_000), eq(of_many(5, 0)));
 }
--- a/crates/core/tests/direct_random.rs
+++ b/crates/core/tests/direct_random.rs
@@ -1,4 +1,4 @@
-//! Properties of what an entry reads and counts, on inputs drawn with a fixed seed.
+//! Property tests of the event splitter and the pass tracker, with a fixed seed.
 
 use googletest::prelude::*;
 use hickorycross_core::direct::{BootMs, EventSplitter, PassTracker};
@@ -6,8 +6,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 
-/// Time without an end of a pass after which nothing is held back.
-const FORGOTTEN_MS: u64 = 600;
+/// Time without a pass after which sends are not limited.
+const UNLIMITED_AFTER_MS: u64 = 600;
 
 fn runner() -> TestRunner {
     TestRunner::new(Config {
@@ -18,29 +18,26 @@
     })
 }
 
-/// Symptom: a caller misses an event, or gets a torn one.
-///
-/// Events: bytes arrive in pieces of any length, also cut within a line end.
-///
-/// Cause: judging a piece by itself.
+/// Guards against lost or incomplete events when bytes arrive in pieces of any length, also split
+/// within a line ending.
 #[gtest]
 fn events_are_the_same_however_their_bytes_arrive() {
     let event = ("[a-z ]{0,12}", 0_u64..1_000, proptest::bool::ANY);
     let input = (vec(event, 0..8), vec(1_usize..20, 1..8), "[a-z:]{0,6}");
-    let played = runner().run(&input, |(events, cuts, torn)| {
-        let written = |(text, id, is_dos): &(String, u64, bool)| {
-            let end = if *is_dos { "\r\n" } else { "\n" };
+    let result = runner().run(&input, |(events, lengths, incomplete)| {
+        let written = |(text, id, is_crlf): &(String, u64, bool)| {
+            let end = if *is_crlf { "\r\n" } else { "\n" };
             format!("id: {id}{end}data: x{text}{end}{end}")
         };
         let mut bytes: Vec<u8> = events.iter().map(written).collect::<String>().into_bytes();
-        bytes.extend(torn.as_bytes());
-        let mut cutter = EventSplitter::default();
+        bytes.extend(incomplete.as_bytes());
+        let mut splitter = EventSplitter::default();
         let mut read = Vec::new();
         let mut rest = &bytes[..];
-        for length in cuts.iter().cycle() {
+        for length in lengths.iter().cycle() {
             let (piece, after) = rest.split_at((*length).min(rest.len()));
-            cutter.push(piece);
-            read.extend(std::iter::from_fn(|| cutter.next_event()));
+            splitter.push(piece);
+            read.extend(std::iter::from_fn(|| splitter.next_event()));
             rest = after;
             if rest.is_empty() {
                 break;
@@ -49,23 +46,20 @@
         let ids: Vec<u64> = read.iter().filter_map(|event| event.id).collect();
         prop_assert_eq!(ids, events.iter().map(|(_, id, _)| *id).collect::<Vec<_>>());
         let whole: Vec<u8> = read.iter().flat_map(|event| event.bytes.to_vec()).collect();
-        prop_assert_eq!(&whole[..], &bytes[..bytes.len() - torn.len()]);
-        prop_assert_eq!(cutter.incomplete_bytes(), torn.len());
+        prop_assert_eq!(&whole[..], &bytes[..bytes.len() - incomplete.len()]);
+        prop_assert_eq!(splitter.incomplete_bytes(), incomplete.len());
         Ok(())
     });
-    expect_that!(played, ok(anything()));
+    expect_that!(result, ok(anything()));
 }
 
-/// Symptom: requests wait though nothing is known of the group.
-///
-/// Events: passes of any length, requests of any size, and then silence.
-///
-/// Cause: an allowance of a group that stands, or of an entry without streams.
+/// Guards against requests held back by an outdated allowance, after the group stalled or when this
+/// entry has no streams.
 #[gtest]
-fn nothing_is_held_back_once_passes_are_not_seen() {
+fn sends_are_not_limited_without_recent_passes() {
     let step = (1_u64..700, 0_usize..4, 1_usize..1_000_000);
     let input = (vec(step, 0..40), proptest::option::of(1_u64..1_000));
-    let played = runner().run(&input, |(steps, target_gap_ms)| {
+    let result = runner().run(&input, |(steps, target_gap_ms)| {
         let mut passes = PassTracker::default();
         let mut now = BootMs(10_000);
         for (pause_ms, requests, bytes) in steps {
@@ -73,8 +67,8 @@
             let _ = passes.note_event(now, target_gap_ms);
             (0..requests).for_each(|_| passes.note_sent(bytes));
         }
-        prop_assert!(passes.may_send(now.after(FORGOTTEN_MS)));
+        prop_assert!(passes.may_send(now.after(UNLIMITED_AFTER_MS)));
         Ok(())
     });
-    expect_that!(played, ok(anything()));
+    expect_that!(result, ok(anything()));
 }
--- a/crates/core/tests/moved_requests.rs
+++ b/crates/core/tests/moved_requests.rs
@@ -1,41 +1,44 @@
-//! Plays a busy group one of whose machines freezes, and checks what callers of that machine get.
+//! Simulates a busy group with an instance that freezes, and checks when requests moved away from
+//! it begin.
 
 use googletest::prelude::*;
 use hickorycross_core::direct::{
     BootMs, RequestKind, Route, escalated_urgency, pass_wait_deadline, patience_used, urgency,
 };
 
-/// A pass of a group whose demand has just shifted.
+/// Duration of a pass of a group whose demand has just shifted.
 const PASS_MS: u64 = 200;
 /// Requests that a rank begins in a pass.
-const BEGUN_IN_PASS: usize = 2;
-/// Time between two fresh requests that reach a rank: as many as it begins, so that its queue stays as it is.
-const FRESH_EVERY_MS: u64 = PASS_MS / BEGUN_IN_PASS as u64;
-/// Fresh requests in the queue of a rank when the machine freezes.
+const BEGUN_PER_PASS: usize = 2;
+/// Time between two new requests at a rank. As many arrive as it begins, so its queue keeps its
+/// length.
+const NEW_EVERY_MS: u64 = PASS_MS / BEGUN_PER_PASS as u64;
+/// New requests in the queue of a rank when the other instance freezes.
 const QUEUED: u64 = 6;
-/// Time after which callers leave that got no event.
+/// Time after which callers without an event give up.
 const PATIENCE_MS: u64 = 2_000;
 const TARGET_MS: u64 = 500;
-/// Priority of all of them, and the lowest of the catalog.
+/// Priority of all requests.
 const PRIORITY: u8 = 1;
+/// The least urgent priority of the catalog.
 const LOWEST_PRIORITY: u8 = 2;
-const PLAY_MS: u64 = 4_000;
+const DURATION_MS: u64 = 4_000;
 
 struct Case {
     name: &'static str,
-    /// How long ago its caller sent the request when its rank is found to be frozen.
-    asked_before_ms: u64,
+    /// Age of the request when its rank is found to be frozen.
+    age_ms: u64,
 }
 
 const CASES: &[Case] = &[
-    Case { name: "sent to the rank at once", asked_before_ms: 600 },
-    Case { name: "waited for a pass before", asked_before_ms: 850 },
-    Case { name: "waited for as long as a late one does", asked_before_ms: 1_100 },
+    Case { name: "sent to the rank at once", age_ms: 600 },
+    Case { name: "waited for a pass first", age_ms: 850 },
+    Case { name: "waited as long as a late request", age_ms: 1_100 },
 ];
 
 struct Waiting {
-    asked_at: BootMs,
-    at_rank_from: BootMs,
+    sent_at: BootMs,
+    queued_at: BootMs,
     is_moved: bool,
 }
 
@@ -56,63 +59,66 @@
 }
 
 impl Waiting {
-    /// Its place in the rank's queue: urgency as of its arrival there, then the time of that.
-    fn place(&self, route: &Route) -> (u8, u64) {
-        let used_ms = self.at_rank_from.since(self.asked_at);
+    /// Returns its sort key in the rank's queue: urgency at arrival, then arrival time.
+    fn queue_key(&self, route: &Route) -> (u8, u64) {
+        let used_ms = self.queued_at.since(self.sent_at);
         let urgency = urgency(PRIORITY, LOWEST_PRIORITY, used_ms, route, false);
-        let patience_used = patience_used(route, self.asked_at, self.at_rank_from);
+        let patience_used = patience_used(route, self.sent_at, self.queued_at);
         (
             escalated_urgency(urgency, LOWEST_PRIORITY, patience_used, self.is_moved),
-            self.at_rank_from.0,
+            self.queued_at.0,
         )
     }
 }
 
-/// When the moved request begins at its second rank, after its caller asked.
-fn begun_after_ms(case: &Case) -> u64 {
+/// Returns how long after its caller sent it the moved request begins at its second rank.
+fn time_to_begin_ms(case: &Case) -> u64 {
     let route = route();
     let found_at = BootMs(10_000);
-    let asked_at = found_at.before(case.asked_before_ms);
+    let sent_at = found_at.before(case.age_ms);
     let moved = Waiting {
-        asked_at,
-        at_rank_from: pass_wait_deadline(&route, found_at, true, true),
+        sent_at,
+        queued_at: pass_wait_deadline(&route, found_at, true, true),
         is_moved: true,
     };
-    let fresh = |at: BootMs| Waiting { asked_at: at, at_rank_from: at, is_moved: false };
-    let queued = (1..=QUEUED).map(|it| fresh(found_at.before(it * FRESH_EVERY_MS)));
+    let new = |at: BootMs| Waiting { sent_at: at, queued_at: at, is_moved: false };
+    let queued = (1..=QUEUED).map(|it| new(found_at.before(it * NEW_EVERY_MS)));
     let mut waiting: Vec<Waiting> = queued.chain([moved]).collect();
-    for elapsed_ms in (0..PLAY_MS).step_by(FRESH_EVERY_MS as usize) {
+    for elapsed_ms in (0..DURATION_MS).step_by(NEW_EVERY_MS as usize) {
         let now = found_at.after(elapsed_ms);
-        waiting.push(fresh(now));
+        waiting.push(new(now));
         if !elapsed_ms.is_multiple_of(PASS_MS) {
             continue;
         }
-        waiting.sort_by_key(|it| (it.at_rank_from > now, it.place(&route)));
-        let begun = waiting.drain(..BEGUN_IN_PASS.min(waiting.len()));
-        if begun.into_iter().any(|it| it.is_moved && it.at_rank_from <= now) {
-            return now.since(asked_at);
+        waiting.sort_by_key(|it| (it.queued_at > now, it.queue_key(&route)));
+        let begun = waiting.drain(..BEGUN_PER_PASS.min(waiting.len()));
+        if begun.into_iter().any(|it| it.is_moved && it.queued_at <= now) {
+            return now.since(sent_at);
         }
     }
-    PLAY_MS
+    DURATION_MS
 }
 
-// Guards against callers that leave though their request was moved away from a frozen machine: it waited for a
-// pass once more and lay behind fresh requests until its caller had no patience left.
+/// Guards against callers that give up although their request was moved away from a frozen
+/// instance.
+///
+/// The request must not wait for a pass once more, nor be queued behind new requests until its
+/// caller's patience is used up.
 #[gtest]
-fn a_moved_request_begins_before_its_caller_leaves() {
+fn a_moved_request_begins_before_its_caller_gives_up() {
     for case in CASES {
-        expect_that!(begun_after_ms(case), lt(PATIENCE_MS - PASS_MS), "{}", case.name);
+        expect_that!(time_to_begin_ms(case), lt(PATIENCE_MS - PASS_MS), "{}", case.name);
     }
 }
 
-// Guards against fresh requests that wait behind late ones whose callers have patience left.
+/// Guards against new requests that wait behind late ones whose callers have patience left.
 #[gtest]
-fn only_callers_about_to_leave_are_hastened() {
+fn urgency_is_raised_only_for_callers_about_to_give_up() {
     let late = urgency(PRIORITY, LOWEST_PRIORITY, TARGET_MS, &route(), false);
-    let fresh = urgency(PRIORITY, LOWEST_PRIORITY, 0, &route(), false);
-    expect_that!(escalated_urgency(late, LOWEST_PRIORITY, 0.3, false), gt(fresh));
-    expect_that!(escalated_urgency(late, LOWEST_PRIORITY, 0.6, false), eq(fresh));
-    expect_that!(escalated_urgency(late, LOWEST_PRIORITY, 0.3, true), eq(fresh));
+    let new = urgency(PRIORITY, LOWEST_PRIORITY, 0, &route(), false);
+    expect_that!(escalated_urgency(late, LOWEST_PRIORITY, 0.3, false), gt(new));
+    expect_that!(escalated_urgency(late, LOWEST_PRIORITY, 0.6, false), eq(new));
+    expect_that!(escalated_urgency(late, LOWEST_PRIORITY, 0.3, true), eq(new));
     expect_that!(
         escalated_urgency(late, LOWEST_PRIORITY, 0.6, false),
         gt(urgency(0, LOWEST_PRIORITY, 900, &route(), false))
@@ -120,6 +126,6 @@
     expect_that!(
         escalated_urgency(7, 9, 0.9, true),
         eq(7),
-        "many priorities have one urgency each"
+        "with many priorities each has one urgency"
     );
 }
--- a/crates/core/tests/request_digest.rs
+++ b/crates/core/tests/request_digest.rs
@@ -1,9 +1,9 @@
-//! Which requests count as the same.
+//! Tests which requests have the same digest.
 
 use googletest::prelude::*;
 use hickorycross_core::direct::{RequestDigest, RequestIdentity};
 
-const ONE: RequestIdentity<'static> = RequestIdentity {
+const REQUEST: RequestIdentity<'static> = RequestIdentity {
     caller: "team",
     method: "POST",
     host: "app.example",
@@ -18,24 +18,28 @@
 }
 
 const CASES: &[Case] = &[
-    Case { name: "sent again", other: ONE, is_same: true },
-    Case { name: "caller", other: RequestIdentity { caller: "other", ..ONE }, is_same: false },
-    Case { name: "method", other: RequestIdentity { method: "PUT", ..ONE }, is_same: false },
-    Case { name: "host", other: RequestIdentity { host: "b.example", ..ONE }, is_same: false },
-    Case { name: "query", other: RequestIdentity { target: "/stream/a", ..ONE }, is_same: false },
-    Case { name: "body", other: RequestIdentity { body: b"the bodz", ..ONE }, is_same: false },
+    Case { name: "repeated", other: REQUEST, is_same: true },
+    Case { name: "caller", other: RequestIdentity { caller: "other", ..REQUEST }, is_same: false },
+    Case { name: "method", other: RequestIdentity { method: "PUT", ..REQUEST }, is_same: false },
+    Case { name: "host", other: RequestIdentity { host: "b.example", ..REQUEST }, is_same: false },
     Case {
-        name: "a part's end is not the next one's beginning",
-        other: RequestIdentity { caller: "teamP", method: "OST", ..ONE },
+        name: "query",
+        other: RequestIdentity { target: "/stream/a", ..REQUEST },
+        is_same: false,
+    },
+    Case { name: "body", other: RequestIdentity { body: b"the bodz", ..REQUEST }, is_same: false },
+    Case {
+        name: "bytes moved from the method to the caller",
+        other: RequestIdentity { caller: "teamP", method: "OST", ..REQUEST },
         is_same: false,
     },
 ];
 
-/// Guards against callers who are refused for what another one has sent.
+/// Guards against refusing a caller's request for a different one that crashed backend servers.
 #[gtest]
-fn requests_are_the_same_only_in_all_their_parts() {
+fn requests_are_the_same_only_if_all_parts_are() {
     for case in CASES {
-        let is_same = RequestDigest::of(&ONE) == RequestDigest::of(&case.other);
+        let is_same = RequestDigest::of(&REQUEST) == RequestDigest::of(&case.other);
         expect_that!(is_same, eq(case.is_same), "{}", case.name);
     }
 }
--- a/crates/core/tests/returning_rank.rs
+++ b/crates/core/tests/returning_rank.rs
@@ -1,4 +1,5 @@
-//! Plays entries that send streams to the ranks of a group, one of which is back from a cut or frozen.
+//! Simulates entries that send streams to the ranks of a group, one of which returns after a
+//! network partition or is frozen.
 
 use googletest::prelude::*;
 use hickorycross_core::direct::{BackendServer, BackendState, BackendTable, BootMs, QuietReport};
@@ -7,19 +8,22 @@
 use std::collections::VecDeque;
 
 const TICK_MS: u64 = 10;
-/// Time of a pass, in which a rank begins a stream or two.
+/// Duration of a pass.
 const PASS_MS: u64 = 100;
-const BEGUN_IN_A_PASS: usize = 2;
-/// Time for which a stream runs.
+/// Most streams that a rank begins in a pass.
+const MAX_BEGUN_PER_PASS: usize = 2;
+/// Duration of a stream once it has begun.
 const STREAM_MS: u64 = 2_000;
-/// Streams that come in a second for each rank: twelve are open at each on the average.
-const COME_PER_RANK_S: f64 = 5.5;
-/// When the cut begins and ends, and for how long what is sent after it counts.
-const CUT_AT_MS: u64 = 6_000;
-const BACK_AT_MS: u64 = 9_000;
-const COUNTED_MS: u64 = 1_500;
-/// Time for which a stream may lie at a rank until it begins, on its callers' target of half a second.
-const MOST_UNBEGUN_MS: u64 = 300;
+/// Streams per second and rank, so that each rank has twelve open on average.
+const STREAMS_PER_RANK_S: f64 = 5.5;
+/// Start and end of the partition of the first rank.
+const PARTITIONED_AT_MS: u64 = 6_000;
+const RETURNED_AT_MS: u64 = 9_000;
+/// Time after its end in which sent streams are measured.
+const MEASURED_MS: u64 = 1_500;
+/// Longest time for which a stream may be queued at a rank, for a first-event target of half a
+/// second.
+const MAX_QUEUED_MS: u64 = 300;
 
 struct Case {
     name: &'static str,
@@ -35,18 +39,18 @@
     Case { name: "a large fleet", entries: 35, ranks: 129 },
 ];
 
-/// A stream at a rank.
+/// A stream that was sent to a rank.
 #[derive(Clone, Copy)]
 struct Stream {
     entry: usize,
     sent_ms: u64,
 }
 
-/// What a rank has.
+/// The streams at one rank.
 #[derive(Default)]
 struct Rank {
     queue: VecDeque<Stream>,
-    /// When running streams end, and whose they are.
+    /// End times of running streams, and the entries that sent them.
     running: VecDeque<(u64, usize)>,
 }
 
@@ -63,18 +67,18 @@
     }
 }
 
-/// A group and the entries before it.
-struct Play {
+/// A group and the entries that send to it.
+struct Simulation {
     random: ChaCha8Rng,
     servers: Vec<BackendServer>,
     ranks: Vec<Rank>,
-    /// What each entry knows.
+    /// The backend table of each entry.
     tables: Vec<BackendTable>,
-    /// Times for which streams that were sent soon after the cut have lain unrun at the rank that is back.
-    unbegun_ms: Vec<u64>,
+    /// Queueing times of the streams sent to the returned rank soon after the partition.
+    queued_ms: Vec<u64>,
 }
 
-impl Play {
+impl Simulation {
     fn new(case: &Case, seed: u64) -> Self {
         let servers: Vec<BackendServer> = (0..case.ranks).map(server).collect();
         let mut table = BackendTable::new("a");
@@ -86,16 +90,16 @@
             ranks: servers.iter().map(|_| Rank::default()).collect(),
             servers,
             tables: vec![table; case.entries],
-            unbegun_ms: Vec::new(),
+            queued_ms: Vec::new(),
         }
     }
 
-    /// Plays a cut of the first rank and what follows.
+    /// Simulates a partition of the first rank and its return. Returns the queueing times there.
     fn run(mut self) -> Vec<u64> {
-        for now_ms in (0..BACK_AT_MS + 2 * COUNTED_MS).step_by(TICK_MS as usize) {
+        for now_ms in (0..RETURNED_AT_MS + 2 * MEASURED_MS).step_by(TICK_MS as usize) {
             match now_ms {
-                CUT_AT_MS => self.cut(BootMs(now_ms)),
-                BACK_AT_MS => self.say_hearing(true, BootMs(now_ms)),
+                PARTITIONED_AT_MS => self.partition(BootMs(now_ms)),
+                RETURNED_AT_MS => self.note_reachable(true, BootMs(now_ms)),
                 _ => {}
             }
             for rank in 0..self.ranks.len() {
@@ -107,26 +111,26 @@
             }
             self.send(now_ms);
         }
-        self.unbegun_ms
+        self.queued_ms
     }
 
-    /// The first rank is cut off: its streams go on elsewhere, and nothing is sent there.
-    fn cut(&mut self, now: BootMs) {
-        let cut = std::mem::take(&mut self.ranks[0]);
-        for (_, entry) in cut.running {
+    /// Partitions the first rank: its streams continue elsewhere, and nothing is sent there.
+    fn partition(&mut self, now: BootMs) {
+        let partitioned = std::mem::take(&mut self.ranks[0]);
+        for (_, entry) in partitioned.running {
             self.tables[entry].note_stream_ended(&self.servers[0], true);
             self.tables[entry].note_ended(&self.servers[0]);
         }
-        for stream in cut.queue {
+        for stream in partitioned.queue {
             self.tables[stream.entry].note_stream_ended(&self.servers[0], false);
             self.tables[stream.entry].note_ended(&self.servers[0]);
         }
-        self.say_hearing(false, now);
+        self.note_reachable(false, now);
     }
 
-    fn say_hearing(&mut self, is_heard: bool, now: BootMs) {
+    fn note_reachable(&mut self, is_reachable: bool, now: BootMs) {
         for table in &mut self.tables {
-            table.note_agent_reachable(self.servers[0].address, is_heard, now);
+            table.note_agent_reachable(self.servers[0].address, is_reachable, now);
         }
     }
 
@@ -140,12 +144,13 @@
 
     fn begin_streams(&mut self, rank: usize, now_ms: u64) {
         let Rank { queue, running } = &mut self.ranks[rank];
-        for stream in queue.drain(..queue.len().min(BEGUN_IN_A_PASS)) {
+        for stream in queue.drain(..queue.len().min(MAX_BEGUN_PER_PASS)) {
             self.tables[stream.entry].note_stream_begun(&self.servers[rank]);
             running.push_back((now_ms + STREAM_MS, stream.entry));
-            let is_counted = (BACK_AT_MS..BACK_AT_MS + COUNTED_MS).contains(&stream.sent_ms);
-            if rank == 0 && is_counted {
-                self.unbegun_ms.push(now_ms - stream.sent_ms);
+            let is_measured =
+                (RETURNED_AT_MS..RETURNED_AT_MS + MEASURED_MS).contains(&stream.sent_ms);
+            if rank == 0 && is_measured {
+                self.queued_ms.push(now_ms - stream.sent_ms);
             }
         }
     }
@@ -157,16 +162,16 @@
         }
     }
 
-    /// Entries send what comes in a tick.
+    /// Sends the streams that arrive in a tick.
     fn send(&mut self, now_ms: u64) {
-        let come = COME_PER_RANK_S * self.ranks.len() as f64 * TICK_MS as f64 / 1_000.0;
-        let come = come as usize + usize::from(self.random.random_bool(come.fract()));
-        for _ in 0..come {
+        let arriving = STREAMS_PER_RANK_S * self.ranks.len() as f64 * TICK_MS as f64 / 1_000.0;
+        let arriving = arriving as usize + usize::from(self.random.random_bool(arriving.fract()));
+        for _ in 0..arriving {
             let entry = self.random.random_range(0..self.tables.len());
             let draw = self.random.random::<f64>();
             let table = &mut self.tables[entry];
             let choice = table.choose("model", &[], BootMs(now_ms), draw);
-            let server = choice.expect("a rank is open").server;
+            let server = choice.expect("a rank is available").server;
             table.note_sent(&server);
             table.note_stream_sent(&server);
             let rank = self.servers.iter().position(|it| it.id == server.id);
@@ -176,44 +181,59 @@
     }
 }
 
-// Guards against requests that lie unrun at a rank just back from a cut, because every entry sends it all that comes.
+/// Guards against requests queued at a rank that has just returned after a partition, because every
+/// entry sends it all new requests.
 #[gtest]
-fn a_rank_back_from_a_cut_gets_no_more_than_it_begins() {
+fn a_returning_rank_gets_no_more_than_it_can_begin() {
     for case in CASES {
         for seed in 0..20 {
-            let unbegun_ms = Play::new(&case, seed).run();
-            let longest_ms = unbegun_ms.iter().max().copied();
-            expect_that!(longest_ms, some(le(MOST_UNBEGUN_MS)), "{} seed {seed}", case.name);
+            let queued_ms = Simulation::new(&case, seed).run();
+            let longest_ms = queued_ms.iter().max().copied();
+            expect_that!(longest_ms, some(le(MAX_QUEUED_MS)), "{} seed {seed}", case.name);
         }
     }
 }
 
-struct Quiet {
+struct QuietCase {
     name: &'static str,
-    /// Streams that run at the first rank, and passes that others make without it.
+    /// Running streams at the first rank.
     begun: u32,
+    /// Passes seen at other ranks since its last event.
     passes: u64,
-    /// Time from its last event on.
+    /// Time since its last event.
     silent_ms: u64,
-    is_left: bool,
+    /// Whether the rank is avoided.
+    is_avoided: bool,
 }
 
-// Guards against new work for a rank on a frozen machine, and work left there, where too many machines are frozen for
-// those that lead to tell them from a broken link of their own.
+/// Guards against new and remaining work at a frozen rank when so many instances are frozen that
+/// the leader cannot tell them from a broken link of its own.
 #[gtest]
-fn a_rank_none_of_whose_streams_goes_on_is_left() {
+fn a_rank_without_progressing_streams_is_avoided() {
     let cases = [
-        Quiet { name: "frozen", begun: 2, passes: 3, silent_ms: 300, is_left: true },
-        Quiet {
+        QuietCase { name: "frozen", begun: 2, passes: 3, silent_ms: 300, is_avoided: true },
+        QuietCase {
             name: "one stream, preempted",
             begun: 1,
             passes: 9,
             silent_ms: 900,
-            is_left: false,
+            is_avoided: false,
+        },
+        QuietCase {
+            name: "a delayed pass",
+            begun: 5,
+            passes: 2,
+            silent_ms: 300,
+            is_avoided: false,
+        },
+        QuietCase { name: "short passes", begun: 5, passes: 9, silent_ms: 200, is_avoided: false },
+        QuietCase {
+            name: "a stalled group",
+            begun: 5,
+            passes: 0,
+            silent_ms: 900,
+            is_avoided: false,
         },
-        Quiet { name: "a pass is late", begun: 5, passes: 2, silent_ms: 300, is_left: false },
-        Quiet { name: "short passes", begun: 5, passes: 9, silent_ms: 200, is_left: false },
-        Quiet { name: "the group stalls", begun: 5, passes: 0, silent_ms: 900, is_left: false },
     ];
     for case in cases {
         let [frozen, other] = [server(0), server(1)];
@@ -226,7 +246,7 @@
             table.note_stream_sent(&frozen);
             table.note_stream_begun(&frozen);
         }
-        // Busier than the frozen one.
+        // The other rank has more requests than the frozen one.
         (0..9).for_each(|_| table.note_sent(&other));
         table.note_event(&frozen, 40, start);
         let now = start.after(case.silent_ms);
@@ -234,46 +254,58 @@
         let chosen = |table: &BackendTable, now| {
             table.choose("model", &[], now, 0.0).map(|choice| choice.server.id)
         };
-        let is_left = chosen(&table, now).as_deref() == Some("r1");
-        expect_that!(is_left, eq(case.is_left), "{}: new work", case.name);
-        expect_that!(table.should_time_out_early(&frozen, now), eq(case.is_left), "{}", case.name);
-        // Its streams leave it one after the other; it stays left until it is heard again.
+        let is_avoided = chosen(&table, now).as_deref() == Some("r1");
+        expect_that!(is_avoided, eq(case.is_avoided), "{}: new work", case.name);
+        expect_that!(
+            table.should_time_out_early(&frozen, now),
+            eq(case.is_avoided),
+            "{}",
+            case.name
+        );
+        // Its streams time out one after the other; it stays avoided until it gives an event.
         for stream in 0..case.begun {
-            let told = table.note_timed_out(&frozen, now);
-            let is_first = case.is_left && stream == 0;
-            expect_that!(told.is_some(), eq(is_first), "{}: told once", case.name);
+            let report = table.note_timed_out(&frozen, now);
+            let is_first = case.is_avoided && stream == 0;
+            expect_that!(report.is_some(), eq(is_first), "{}: reported once", case.name);
             table.note_stream_ended(&frozen, true);
             table.note_ended(&frozen);
         }
         let later = now.after(500);
         expect_that!(
             table.should_time_out_early(&frozen, later),
-            eq(case.is_left),
-            "{}: kept",
+            eq(case.is_avoided),
+            "{}: still avoided",
             case.name
         );
         table.note_event(&frozen, 41 + case.passes, later);
-        expect_false!(table.should_time_out_early(&frozen, later), "{}: heard again", case.name);
+        expect_false!(table.should_time_out_early(&frozen, later), "{}: after an event", case.name);
     }
 }
 
-/// Moments of an entry that is told that a rank is quiet.
-struct Told {
+/// A report of a quiet rank, and what the receiving entry has seen of it.
+struct ReportCase {
     name: &'static str,
-    /// When the entry itself last got an event from there, before the word was formed.
+    /// Time from the last event that the entry itself got from the rank to the finding of the
+    /// report.
     event_before_ms: Option<u64>,
     age_ms: u64,
     is_news: bool,
 }
 
-// Guards against requests of an entry with few streams at a frozen rank, which lie there until their callers leave.
+/// Guards against requests of an entry with few streams at a frozen rank, which stay queued there
+/// until their callers give up.
 #[gtest]
-fn an_entry_leaves_a_rank_that_another_one_found_quiet() {
+fn an_entry_avoids_a_rank_that_another_entry_found_quiet() {
     let cases = [
-        Told { name: "nothing open there", event_before_ms: None, age_ms: 5, is_news: true },
-        Told { name: "an older event", event_before_ms: Some(40), age_ms: 5, is_news: true },
-        Told { name: "an event since then", event_before_ms: Some(0), age_ms: 5, is_news: false },
-        Told { name: "an old report", event_before_ms: None, age_ms: 2_000, is_news: false },
+        ReportCase { name: "no event seen there", event_before_ms: None, age_ms: 5, is_news: true },
+        ReportCase { name: "an older event", event_before_ms: Some(40), age_ms: 5, is_news: true },
+        ReportCase {
+            name: "an event since then",
+            event_before_ms: Some(0),
+            age_ms: 5,
+            is_news: false,
+        },
+        ReportCase { name: "an old report", event_before_ms: None, age_ms: 2_000, is_news: false },
     ];
     for case in cases {
         let rank = server(0);
@@ -287,7 +319,7 @@
         let report = QuietReport { address: rank.address, age_ms: case.age_ms };
         expect_that!(table.note_quiet_report(report, now), eq(case.is_news), "{}", case.name);
         expect_that!(table.should_time_out_early(&rank, now), eq(case.is_news), "{}", case.name);
-        expect_false!(table.note_quiet_report(report, now), "{}: told again", case.name);
+        expect_false!(table.note_quiet_report(report, now), "{}: repeated", case.name);
         expect_false!(table.should_time_out_early(&rank, now.after(2_100)), "{}: later", case.name);
     }
 }
--- a/crates/core/tests/start_probes.rs
+++ b/crates/core/tests/start_probes.rs
@@ -1,4 +1,4 @@
-//! Whom a new process hears before it serves.
+//! Tests which agents a new process contacts before it serves requests.
 
 use googletest::prelude::*;
 use hickorycross_core::adoption::StartGate;
@@ -7,7 +7,7 @@
 
 const DOMAINS: u8 = 7;
 const AGENTS: u8 = 70;
-const NEWCOMERS: u32 = 700;
+const NEW_ENTRIES: u32 = 700;
 
 fn agents() -> Vec<Instance> {
     let rows = (0..AGENTS).map(|number| Instance {
@@ -20,15 +20,14 @@
     rows.collect()
 }
 
-/// Symptom: three agents run out of memory when the whole fleet starts.
-/// Sequence: every process reads the same list and opens links to the peers that it is to hear.
-/// Cause: all take the first agents of the list.
+/// Guards against three agents that run out of memory when the whole fleet starts, because every
+/// process reads the same list and opens links to its first agents.
 #[gtest]
 fn a_fleet_that_starts_at_once_spreads_its_probes() {
     let list = agents();
     let mut probed: IndexMap<InstanceId, u32> = IndexMap::new();
-    for newcomer in 0..NEWCOMERS {
-        let own = InstanceId::new(&format!("entry-{newcomer}"));
+    for number in 0..NEW_ENTRIES {
+        let own = InstanceId::new(&format!("entry-{number}"));
         let probes = StartGate::new(own, LinkId(1)).listed(Now::at(0), &list);
         let domain_of = |id: &InstanceId| {
             let row = list.iter().find(|row| row.id == *id);
@@ -40,7 +39,8 @@
             *probed.entry(probe.instance).or_default() += 1;
         }
     }
-    // 2,100 probes over 70 agents are 30 each; five standard deviations more are 58.
+    // 2,100 probes over 70 agents are 30 each on average; five standard deviations above that are
+    // 58.
     expect_that!(probed.len(), eq(usize::from(AGENTS)));
     expect_that!(probed.values().max(), some(le(&58)));
 }
