--- /dev/null
+++ b/crates/core/src/direct/retry_budget.rs
@@ -0,0 +1,93 @@
+//! A retry budget that needs no communication between entries.
+
+use super::BootMs;
+use indexmap::IndexMap;
+use std::collections::VecDeque;
+
+/// One entry's share of the fleet's retry budget.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RetryBudgetSettings {
+    /// Length of the sliding window over which sends are counted.
+    pub window_ms: u64,
+    /// Retries allowed per first send.
+    pub ratio: f64,
+    /// Retries allowed at this entry in addition to the ratio.
+    pub slack: f64,
+}
+
+/// Counts first sends and retries by service.
+///
+/// The budget holds over all entries. Every entry applies the ratio to its own first sends and has
+/// a fixed share of the slack, so the total holds even while entries are partitioned from each
+/// other. Without a budget, a fault that affects every request would multiply the load when
+/// capacity is short.
+#[derive(Clone, Debug)]
+pub struct RetryBudget {
+    settings: RetryBudgetSettings,
+    services: IndexMap<String, Sends>,
+}
+
+#[derive(Clone, Debug, Default)]
+struct Sends {
+    first: VecDeque<BootMs>,
+    retries: VecDeque<BootMs>,
+}
+
+impl RetryBudget {
+    /// Creates a budget with no sends counted.
+    #[must_use]
+    pub fn new(settings: RetryBudgetSettings) -> Self {
+        Self { settings, services: IndexMap::new() }
+    }
+
+    /// Changes this entry's share of the budget.
+    pub fn set(&mut self, settings: RetryBudgetSettings) {
+        self.settings = settings;
+    }
+
+    /// Counts the first send of a request for a service.
+    pub fn note_first_send(&mut self, now: BootMs, service: &str) {
+        let sends = self.sends(now, service);
+        sends.first.push_back(now);
+    }
+
+    /// Spends one retry if the budget allows it. Returns whether it did.
+    #[must_use]
+    pub fn try_spend(&mut self, now: BootMs, service: &str) -> bool {
+        let allows_retry = self.allows_retry(now, service);
+        if allows_retry {
+            self.sends(now, service).retries.push_back(now);
+        }
+        allows_retry
+    }
+
+    /// Returns whether the budget allows another retry.
+    #[must_use]
+    pub fn allows_retry(&mut self, now: BootMs, service: &str) -> bool {
+        let RetryBudgetSettings { ratio, slack, .. } = self.settings;
+        let sends = self.sends(now, service);
+        let allowed = ratio * sends.first.len() as f64 + slack;
+        sends.retries.len() as f64 + 1.0 <= allowed
+    }
+
+    /// Returns the number of retries in the window as of the last use of the budget.
+    #[must_use]
+    pub fn retry_count(&self, service: &str) -> usize {
+        self.services.get(service).map_or(0, |sends| sends.retries.len())
+    }
+
+    /// Returns the sends of a service that are within the window.
+    fn sends(&mut self, now: BootMs, service: &str) -> &mut Sends {
+        if !self.services.contains_key(service) {
+            self.services.insert(service.to_owned(), Sends::default());
+        }
+        let begin = now.before(self.settings.window_ms);
+        let sends = &mut self.services[service];
+        for times in [&mut sends.first, &mut sends.retries] {
+            while times.front().is_some_and(|at| *at < begin) {
+                times.pop_front();
+            }
+        }
+        sends
+    }
+}
--- /dev/null
+++ b/crates/core/src/direct/selection.rs
@@ -0,0 +1,178 @@
+//! Selection of a backend server for a request.
+//!
+//! The least loaded backend server is chosen. Servers that recently failed, ranks that slow their
+//! whole group down, and ranks whose instance seems frozen or cut off are avoided while others
+//! remain.
+
+use super::BootMs;
+use super::backend_table::{BackendServer, BackendTable, Row, USUAL_PACE_PERMILLE};
+
+/// Load, in requests, that a failure share of 1 adds to a backend server.
+const FAILURE_PENALTY_REQUESTS: f64 = 12.0;
+
+/// Load, in requests, that being in another failure domain adds. It is small enough to decide ties
+/// only.
+const OTHER_DOMAIN_PENALTY_REQUESTS: f64 = 0.3;
+
+/// Load, in requests, that a stream without an event adds beyond its own.
+///
+/// A rank begins only a few streams per pass, and callers lose queued streams if its instance
+/// freezes.
+const NOT_BEGUN_PENALTY_REQUESTS: f64 = 2.0;
+
+/// Distance below the median load from which a backend server counts as underloaded.
+const UNDERLOADED_REQUESTS: f64 = 0.9;
+
+/// Share of an entry's requests that each underloaded backend server gets, as a multiple of an even
+/// share.
+const CATCH_UP_SHARES: f64 = 3.0;
+
+/// Largest difference of two loads that count as equal.
+const EQUAL_REQUESTS: f64 = 0.05;
+
+/// Pace from which a rank counts as slow and is avoided, in thousandths of the usual time.
+///
+/// All ranks of a group run each pass together, so a slow rank with work of its own slows every
+/// stream of the group; without work it delays nobody. A pass of a busy group takes half of the gap
+/// that callers were promised, so passes of twice the usual time make all streams late.
+const SLOW_PACE_PERMILLE: u32 = 1_500;
+
+/// Largest fraction of ranks that are avoided at a time, as a divisor. The other ranks take over
+/// their work, for which a group with nine tenths of its slots in use has just enough room.
+const AVOIDED_DIVISOR: usize = 10;
+
+/// Result of [`BackendTable::choose`].
+#[derive(Clone, Debug, PartialEq)]
+pub struct Choice {
+    /// The chosen backend server.
+    pub server: BackendServer,
+    /// Its load in requests, penalties included.
+    pub load_requests: f64,
+    /// Number of other backend servers that could have been chosen.
+    pub others: usize,
+}
+
+impl BackendTable {
+    /// Chooses a backend server of a service, excluding those in `tried`.
+    ///
+    /// Chooses the one with the least load, computed from this entry's own open requests, recent
+    /// failures, failure domain and pace. `draw`, a random number from 0 up to 1, decides among
+    /// equals. Paused and avoided servers are used only when no other is left, since a fault
+    /// elsewhere may have caused all of them to be paused.
+    #[must_use]
+    pub fn choose(
+        &self,
+        service: &str,
+        tried: &[String],
+        now: BootMs,
+        draw: f64,
+    ) -> Option<Choice> {
+        let available: Vec<&Row> =
+            self.available(service).filter(|row| !tried.contains(&row.server.id)).collect();
+        let avoids_ranks = self.avoids_ranks(service, now);
+        let is_usable = |row: &&Row| {
+            row.paused_until <= now
+                && !(avoids_ranks && row.is_avoided(now))
+                && !self.is_quiet(row, now)
+        };
+        let usable: Vec<&Row> = available.iter().copied().filter(is_usable).collect();
+        let rows = if usable.is_empty() { available } else { usable };
+        let others = rows.len().saturating_sub(1);
+        let (rows, draw) = self.candidates(rows, now, draw)?;
+        let load_requests = rows.iter().map(|row| self.load(row, now)).min_by(f64::total_cmp)?;
+        // Entries do not see each other's requests. If each took the first of several equals, the
+        // first servers of the list would get the requests of all entries.
+        let is_least = |row: &&&Row| self.load(row, now) <= load_requests + EQUAL_REQUESTS;
+        let equals: Vec<&&Row> = rows.iter().filter(is_least).collect();
+        let index = ((draw * equals.len() as f64) as usize).min(equals.len() - 1);
+        let server = equals[index].server.clone();
+        Some(Choice { server, load_requests, others })
+    }
+
+    /// Returns which of `rows` a request chooses among, and the rest of its draw rescaled to 0 up
+    /// to 1.
+    ///
+    /// Entries do not see each other's requests. A rank that returns after a network partition has
+    /// no open requests at any entry. If all entries chose it as the least loaded one, it would get
+    /// every request until each entry has sent it as many as it has elsewhere. So ranks that are
+    /// underloaded and have not run a stream recently get a fixed multiple of an even share of each
+    /// entry's requests, which limits their share of all requests whatever the number of entries.
+    /// Ranks that run streams are always chosen by least load, since an even load matters most when
+    /// it is high.
+    fn candidates<'a>(
+        &self,
+        rows: Vec<&'a Row>,
+        now: BootMs,
+        draw: f64,
+    ) -> Option<(Vec<&'a Row>, f64)> {
+        let count = rows.len() as f64;
+        let mut loads: Vec<f64> = rows.iter().map(|row| self.load(row, now)).collect();
+        loads.sort_by(f64::total_cmp);
+        let median = *loads.get(loads.len() / 2)?;
+        let is_underloaded = |row: &&Row| {
+            self.load(row, now) + UNDERLOADED_REQUESTS < median && !row.has_run_recently(now)
+        };
+        let (underloaded, rest): (Vec<&Row>, Vec<&Row>) =
+            rows.into_iter().partition(is_underloaded);
+        let share = (underloaded.len() as f64 * CATCH_UP_SHARES / count).min(1.0);
+        if draw < share {
+            return Some((underloaded, draw / share));
+        }
+        Some((rest, (draw - share) / (1.0 - share)))
+    }
+
+    /// Returns whether streams at a backend server should continue elsewhere because it slows its
+    /// group.
+    #[must_use]
+    pub fn should_move_streams(&self, server: &BackendServer, now: BootMs) -> bool {
+        let row = self.row(server);
+        row.is_some_and(|row| row.slows_its_group(now)) && self.avoids_ranks(&server.service, now)
+    }
+
+    /// Returns whether requests at a backend server should time out early.
+    ///
+    /// That is so when its agent is unreachable too and few ranks are avoided, or when none of its
+    /// streams makes progress.
+    #[must_use]
+    pub fn should_time_out_early(&self, server: &BackendServer, now: BootMs) -> bool {
+        let Some(row) = self.row(server) else { return false };
+        let is_reported = row.is_agent_unreachable(now) && self.avoids_ranks(&server.service, now);
+        is_reported || self.is_quiet(row, now)
+    }
+
+    /// Returns whether slow and unreachable ranks of a service are avoided, which requires that
+    /// they are few enough for the others to take over their work.
+    fn avoids_ranks(&self, service: &str, now: BootMs) -> bool {
+        let avoided = self.available(service).filter(|row| row.is_avoided(now)).count();
+        avoided <= max_avoided_ranks(self.available(service).count())
+    }
+
+    /// Returns the load of a backend server in requests, penalties included.
+    fn load(&self, row: &Row, now: BootMs) -> f64 {
+        let is_same_domain = row.server.failure_domain == self.own_failure_domain;
+        let domain_penalty = if is_same_domain { 0.0 } else { OTHER_DOMAIN_PENALTY_REQUESTS };
+        let requests = f64::from(row.outstanding)
+            + f64::from(row.streams.not_begun) * NOT_BEGUN_PENALTY_REQUESTS
+            + domain_penalty
+            + row.failure_share * FAILURE_PENALTY_REQUESTS;
+        let pace_permille = row.pace_permille(now);
+        // The next request is counted too, so that a slow server is not preferred even when it is
+        // idle.
+        (requests + 1.0) * f64::from(pace_permille) / f64::from(USUAL_PACE_PERMILLE) - 1.0
+    }
+}
+
+/// Returns how many of `ranks` may be avoided at a time; at least one.
+pub(crate) fn max_avoided_ranks(ranks: usize) -> usize {
+    (ranks / AVOIDED_DIVISOR).max(1)
+}
+
+impl Row {
+    fn is_avoided(&self, now: BootMs) -> bool {
+        self.slows_its_group(now) || self.is_agent_unreachable(now)
+    }
+
+    fn slows_its_group(&self, now: BootMs) -> bool {
+        self.pace_permille(now) >= SLOW_PACE_PERMILLE
+    }
+}
--- a/crates/direct/src/forward/limit.rs
+++ b/crates/direct/src/forward/limit.rs
@@ -6,7 +6,7 @@
 use crate::limit_share;
 use crate::spread::{SharedWord, note_limit_word};
 use crate::state::EntryState;
-use hickorycross_core::direct::{BackendServer, IncarnationDigest, LimitWord};
+use hickorycross_core::direct::{BackendServer, IncarnationDigest, LimitReport};
 use http::HeaderMap;
 use std::rc::Rc;
 
@@ -18,7 +18,7 @@
         return;
     };
     let incarnation = IncarnationDigest::of(server);
-    let word = LimitWord { incarnation, millirequests_per_s, age_ms: 0 };
+    let word = LimitReport { incarnation, millirequests_per_s, age_ms: 0 };
     let now = boot_now();
     if state.limits.borrow_mut().note(word, now) {
         note_limit_word(state, word, Some(&server.id));
@@ -43,7 +43,7 @@
     pub(super) fn passed_over(&self) -> Vec<String> {
         let withheld = self.limited().into_iter().filter(|(_, word)| {
             let permits = self.state.limit_permits.borrow();
-            !permits.has_one(word.incarnation, boot_now())
+            !permits.has_permit(word.incarnation, boot_now())
         });
         let withheld = withheld.map(|(server, _)| server.id);
         self.tried.iter().cloned().chain(withheld).collect()
@@ -56,9 +56,9 @@
         for (server, word) in self.limited() {
             let mut permits = self.state.limit_permits.borrow_mut();
             if chosen == Some(&server) {
-                permits.take(word.incarnation);
-            } else if !permits.has_one(word.incarnation, now)
-                && let Some(wanted) = permits.note_missed(word.incarnation, now)
+                permits.use_permit(word.incarnation);
+            } else if !permits.has_permit(word.incarnation, now)
+                && let Some(wanted) = permits.note_denied(word.incarnation, now)
             {
                 let asking = limit_share::ask(Rc::clone(&self.state), word, wanted);
                 tokio::task::spawn_local(asking);
@@ -67,7 +67,7 @@
     }
 
     /// Backend servers of the request's service that are in need, with what they take.
-    fn limited(&self) -> Vec<(BackendServer, LimitWord)> {
+    fn limited(&self) -> Vec<(BackendServer, LimitReport)> {
         let limits = self.state.limits.borrow();
         if limits.is_empty() {
             return Vec::new();
@@ -76,7 +76,7 @@
         let of_service = backends.servers().filter(|server| server.service == self.service);
         let now = boot_now();
         let limited = of_service.filter_map(|server| {
-            let word = limits.word(IncarnationDigest::of(server), now)?;
+            let word = limits.report(IncarnationDigest::of(server), now)?;
             word.millirequests_per_s.map(|_| (server.clone(), word))
         });
         limited.collect()
