--- a/crates/core/src/map_change/change.rs
+++ b/crates/core/src/map_change/change.rs
@@ -1,7 +1,7 @@
 //! The steps of a change, and of its undoing.
 
 use super::leader::{Leader, LeaderAction};
-use super::order::{OrderEnd, OrderKind};
+use super::order::{OrderKind, OrderOutcome};
 use super::phase::{Arming, Holding, Orders, Phase, Preparing};
 use crate::direct::BootMs;
 use crate::placement::{ExpertMap, MapChange};
@@ -119,7 +119,7 @@
         let orders = &preparing.orders;
         let is_ready = self.statuses().all(|status| status.prepared == Some(version));
         let is_held = self.statuses().any(|status| status.held_step.is_some());
-        if orders.any(OrderEnd::Refused) || is_held || now >= give_up_at {
+        if orders.any(OrderOutcome::Refused) || is_held || now >= give_up_at {
             // Nothing is armed or held: the copies are simply not used.
             self.note("not-prepared", version, epoch, None, actions);
             return;
@@ -133,7 +133,7 @@
         }
         let order = self.order(epoch, OrderKind::HoldAhead { steps: self.steps_ahead() });
         let mut orders = Orders::of(epoch);
-        orders.add_given_by(self.own_rank, holder, self.take_number(), order);
+        orders.add_delivered_by(self.own_rank, holder, self.take_number(), order);
         self.phase = Phase::Holding(Holding { version, holder, orders, asked_at: now });
         self.note("prepared", version, epoch, None, actions);
     }
@@ -188,7 +188,7 @@
         actions: &mut Vec<LeaderAction>,
     ) {
         let Holding { version, holder, asked_at, .. } = holding;
-        if holding.orders.any(OrderEnd::Refused) {
+        if holding.orders.any(OrderOutcome::Refused) {
             self.note("not-held", version, epoch, None, actions);
             return;
         }
@@ -225,7 +225,7 @@
         let Arming { version, holder, step, own_armed_by, .. } = arming;
         // Once the own rank may be armed a change is not undone: the holder's agent may say that it is.
         let is_late = now >= arming.give_up_at && own_armed_by.is_none();
-        if arming.orders.any(OrderEnd::Refused) || is_late {
+        if arming.orders.any(OrderOutcome::Refused) || is_late {
             let held = vec![(holder, step)];
             self.begin_undo(epoch, held, Vec::new(), "not-armed", actions);
         } else if !arming.orders.all_done() {
@@ -244,13 +244,13 @@
         }
     }
 
-    /// Has the leader's own rank armed by the agent of the rank `giver`.
-    fn arm_own(&mut self, epoch: u64, arming: &mut Arming, giver: u16) {
+    /// Has the leader's own rank armed by the agent of the rank `delivered_by`.
+    fn arm_own(&mut self, epoch: u64, arming: &mut Arming, delivered_by: u16) {
         let (version, step) = (arming.version, arming.step);
         let order = self.order(epoch, OrderKind::Arm { version, step });
         arming.orders = Orders::of(epoch);
-        arming.orders.add_given_by(giver, self.own_rank, self.take_number(), order);
-        arming.own_armed_by = Some(giver);
+        arming.orders.add_delivered_by(delivered_by, self.own_rank, self.take_number(), order);
+        arming.own_armed_by = Some(delivered_by);
     }
 
     pub(super) fn release(
--- a/crates/core/src/map_change/decide.rs
+++ b/crates/core/src/map_change/decide.rs
@@ -61,7 +61,7 @@
         }
         self.learn_map();
         let is_settled = self.is_settled(now);
-        if !is_settled || self.demand.seen() < LEAST_CHOICES {
+        if !is_settled || self.demand.total_choices() < LEAST_CHOICES {
             return;
         }
         match self.better_map(dimensions) {
@@ -78,14 +78,14 @@
         let (version, present) = self.map.as_ref()?;
         // A change with a rank whose agent is not heard would hold the group for long.
         let is_aligned =
-            self.statuses().all(|status| status.map == *version && !status.is_from_afar);
+            self.statuses().all(|status| status.map == *version && !status.is_read_remotely);
         if !is_aligned {
             return None;
         }
         let loads = self.demand.loads();
         let paces = self.paces(present.ranks());
         let before = bottleneck_load(present, loads, &paces);
-        let even = self.demand.seen() / present.ranks().max(1) as f64;
+        let even = self.demand.total_choices() / present.ranks().max(1) as f64;
         // No map is better than even; the search takes most of an agent's processor time.
         if before * (1.0 - LEAST_GAIN) <= even {
             return Some(Better::None);
--- a/crates/core/src/map_change/demand.rs
+++ b/crates/core/src/map_change/demand.rs
@@ -1,6 +1,6 @@
 //! How much load each expert has, from samples of all ranks.
 //!
-//! Demand is steady for seconds and then shifts at once. An average over a fixed time is wrong
+//! DemandEstimator is steady for seconds and then shifts at once. An average over a fixed time is wrong
 //! either way: over a long one it holds the time before the shift, over a short one it is noise. So
 //! samples are kept in pieces of time, and what came before a shift is dropped when it is seen.
 
@@ -35,11 +35,11 @@
 
 /// Choices of experts by layer, as long as they tell of the present demand.
 #[derive(Clone, Debug, Default)]
-pub struct Demand {
+pub struct DemandEstimator {
     pieces: VecDeque<Piece>,
     /// The sum of all pieces.
     loads: Loads,
-    seen: f64,
+    total_choices: f64,
 }
 
 /// Samples of a short time, apart for sources of even and odd numbers.
@@ -49,7 +49,7 @@
     halves: [Loads; 2],
 }
 
-impl Demand {
+impl DemandEstimator {
     /// Adds the choices of one source: a rank or a section of ranks. Sources with even and odd numbers are
     /// compared with each other.
     pub fn add(
@@ -82,7 +82,7 @@
             let choices = f64::from(*count) * unit;
             *sum += choices;
             *part += choices;
-            self.seen += choices;
+            self.total_choices += choices;
         }
     }
 
@@ -109,8 +109,8 @@
 
     /// Choices in the estimate.
     #[must_use]
-    pub const fn seen(&self) -> f64 {
-        self.seen
+    pub const fn total_choices(&self) -> f64 {
+        self.total_choices
     }
 
     /// How far the shares of experts lie from the true ones by chance, as a sum over experts.
@@ -129,7 +129,7 @@
     pub fn clear(&mut self) {
         self.pieces.clear();
         self.loads.clear();
-        self.seen = 0.0;
+        self.total_choices = 0.0;
     }
 
     /// Drops the samples from before a shift, if the newest ones show one. Returns whether they do.
@@ -146,7 +146,7 @@
             return false;
         }
         // Chance goes with the root of the number of choices.
-        let parts = self.seen / newest_sum + self.seen / before_sum;
+        let parts = self.total_choices / newest_sum + self.total_choices / before_sum;
         let chance = self.uncertainty() * parts.sqrt();
         let has_shifted = distance(&newest, &before) > (SHIFT_RATIO * chance).max(LEAST_SHIFT);
         if has_shifted {
@@ -171,7 +171,7 @@
             for half in &piece.halves {
                 for (sum, part) in self.loads.iter_mut().flatten().zip(half.iter().flatten()) {
                     *sum -= part;
-                    self.seen -= part;
+                    self.total_choices -= part;
                 }
             }
         }
--- a/crates/core/src/map_change/known_maps.rs
+++ b/crates/core/src/map_change/known_maps.rs
@@ -26,7 +26,7 @@
     ///
     /// When the order tells a change of a map that is not known: an agent that has just started was not
     /// told of the map in use.
-    pub fn whole(&mut self, kind: &OrderKind) -> Result<OrderKind, UnknownMap> {
+    pub fn resolve(&mut self, kind: &OrderKind) -> Result<OrderKind, UnknownMap> {
         match kind {
             OrderKind::PrepareChange { version, base, change } => {
                 let base_map = self.maps.get(base).ok_or(UnknownMap(*base))?;
--- a/crates/core/src/map_change/leader.rs
+++ b/crates/core/src/map_change/leader.rs
@@ -1,8 +1,8 @@
 //! The agent that decides for its group.
 
 use super::change::VERSION_STEP;
-use super::demand::Demand;
-use super::order::{Ended, OrderEnd, OrderKind, RankOrder};
+use super::demand::DemandEstimator;
+use super::order::{OrderKind, OrderOutcome, OrderResult, RankOrder};
 use super::order_sends::OrderSends;
 use super::pass_clock::PassClock;
 use super::phase::{Orders, Phase};
@@ -46,9 +46,9 @@
         /// The rank.
         rank: u16,
         /// The rank whose agent gives the order: usually the same.
-        giver: u16,
+        delivered_by: u16,
         /// The rank whose agent passes the order on, which has one of the same kind in the same tick.
-        via: Option<u16>,
+        relayed_by: Option<u16>,
         /// Names the order; the agent answers with it.
         number: u64,
         /// The order.
@@ -95,7 +95,7 @@
     pub(super) salt: u64,
     next_number: u64,
     pub(super) seats: IndexMap<u16, Seat>,
-    pub(super) demand: Demand,
+    pub(super) demand: DemandEstimator,
     /// Experts of a layer, by the operators' word.
     pub(super) experts_per_layer: u16,
     /// When the first sign of a shift of demand was seen that is not decided upon yet.
@@ -128,7 +128,7 @@
             salt: salt % VERSION_STEP,
             next_number: 1,
             seats: IndexMap::new(),
-            demand: Demand::default(),
+            demand: DemandEstimator::default(),
             experts_per_layer: 0,
             shift_seen_at: None,
             map: None,
@@ -146,7 +146,7 @@
 
     /// Says that a rank that is not heard yet may hold a pass for the leader before.
     #[must_use]
-    pub fn after_a_watched_one(self, now: BootMs) -> Self {
+    pub fn with_possible_hold(self, now: BootMs) -> Self {
         Self { may_be_held_until: now.after(FIND_HELD_MS), ..self }
     }
 
@@ -202,7 +202,7 @@
     pub fn silent_ranks(&self, now: BootMs, silent_ms: u64) -> Vec<u16> {
         let Some(own) = self.seats.get(&self.own_rank) else { return Vec::new() };
         let is_heard = |rank: &u16| {
-            let seat = self.seats.get(rank).filter(|seat| !seat.status.is_from_afar);
+            let seat = self.seats.get(rank).filter(|seat| !seat.status.is_read_remotely);
             seat.is_some_and(|seat| now.since(seat.heard_at) <= silent_ms)
         };
         (0..own.status.ranks).filter(|rank| !is_heard(rank)).collect()
@@ -252,28 +252,28 @@
     }
 
     /// Takes the counts that another agent has summed over a section of the group.
-    pub fn on_collected(&mut self, now: BootMs, section: u16, counts: &CountsSample) {
+    pub fn on_section_counts(&mut self, now: BootMs, section: u16, counts: &CountsSample) {
         let experts = usize::from(self.experts_per_layer);
         self.demand.add(now, section, experts, counts);
     }
 
     /// Takes the end of an order that an agent tells of.
-    pub fn on_ended(&mut self, rank: u16, number: u64, ended: Ended) {
+    pub fn on_order_result(&mut self, rank: u16, number: u64, ended: OrderResult) {
         // Others are given several times at once, whether they get lost or not.
         if matches!(self.phase, Phase::Preparing(_)) {
             self.order_sends.note(ended.sends);
         }
-        self.on_end(rank, number, ended.end);
+        self.on_order_outcome(rank, number, ended.end);
     }
 
     /// Takes the end of an order.
-    pub fn on_end(&mut self, rank: u16, number: u64, end: OrderEnd) {
+    pub fn on_order_outcome(&mut self, rank: u16, number: u64, end: OrderOutcome) {
         let Some(orders) = self.phase.orders() else { return };
-        if end == OrderEnd::LacksMap {
+        if end == OrderOutcome::LacksMap {
             let Some((version, map)) = &self.told else { return };
             let whole = OrderKind::Prepare { version: *version, map: Arc::clone(map) };
             orders.replace(rank, number, whole);
-        } else if orders.end(rank, number, end) && end == OrderEnd::Fenced {
+        } else if orders.end(rank, number, end) && end == OrderOutcome::Fenced {
             self.is_deposed = true;
         }
     }
@@ -281,7 +281,7 @@
     /// Decides and gives what is due, where a decision takes no time. To be called often.
     pub fn tick(&mut self, now: BootMs, dimensions: &GroupDimensions) -> Vec<LeaderAction> {
         let mut actions = self.decide(now, dimensions);
-        actions.extend(self.due(now));
+        actions.extend(self.due_orders(now));
         actions
     }
 
@@ -297,7 +297,7 @@
     /// On a sixth of a core a decision took 0.2 s. Reckoned from before it, orders without an answer were
     /// due again 0.1 s after they were first sent: 105 maps of 5 KB, which filled the leader's link for
     /// 0.7 s, so that its members took it for gone.
-    pub fn due(&mut self, now: BootMs) -> Vec<LeaderAction> {
+    pub fn due_orders(&mut self, now: BootMs) -> Vec<LeaderAction> {
         let again_ms = match self.phase {
             Phase::Preparing(_) => MAP_AGAIN_MS,
             _ => AGAIN_MS,
@@ -370,20 +370,20 @@
 
     /// Whether an agent was heard a moment ago.
     pub(super) fn is_fresh(&self, rank: u16, now: BootMs) -> bool {
-        let seat = self.seats.get(&rank).filter(|seat| !seat.status.is_from_afar);
-        seat.is_some_and(|seat| now.since(seat.heard_at) <= self.fresh_ms())
+        let seat = self.seats.get(&rank).filter(|seat| !seat.status.is_read_remotely);
+        seat.is_some_and(|seat| now.since(seat.heard_at) <= self.max_silence_ms())
     }
 
     /// Whether all ranks of the group were heard since `asked_at`, by their own agents.
     pub(super) fn all_answered(&self, asked_at: BootMs) -> bool {
         let ranks = self.status_of(self.own_rank).map_or(0, |own| own.ranks);
-        let has_answered = |seat: &Seat| !seat.status.is_from_afar && seat.heard_at >= asked_at;
+        let has_answered = |seat: &Seat| !seat.status.is_read_remotely && seat.heard_at >= asked_at;
         (0..ranks).all(|rank| self.seats.get(&rank).is_some_and(has_answered))
     }
 
     /// Silence of an agent that polls alone do not explain: two rounds of them are lost.
     #[must_use]
-    pub fn fresh_ms(&self) -> u64 {
+    pub fn max_silence_ms(&self) -> u64 {
         let round_ms = self.seats.get(&self.own_rank).map_or(0, |own| own.gap_ms);
         2 * round_ms.max(SHORT_ROUND_MS) + ANSWER_MS
     }
@@ -393,7 +393,7 @@
         let ranks = self.seats.len().max(1);
         let after = move |distance: usize| ((usize::from(self.own_rank) + distance) % ranks) as u16;
         let is_heard =
-            |rank: &u16| self.seats.get(rank).is_some_and(|seat| !seat.status.is_from_afar);
+            |rank: &u16| self.seats.get(rank).is_some_and(|seat| !seat.status.is_read_remotely);
         (1..ranks).map(after).filter(is_heard)
     }
 
--- a/crates/core/src/map_change/mod.rs
+++ b/crates/core/src/map_change/mod.rs
@@ -21,15 +21,14 @@
 //! - [`Leader`] is the state machine; [`RankStatus`] is what it hears, [`RankOrder`] what it sends.
 //! - [`EngineOrder`] is what a rank's engine is told at last.
 //! - [`Roster`] says which machines there are to ask.
-//! - [`Polls`] says when a leader asks whom; a [`Collection`] is what an agent hears for it.
+//! - [`PollSchedule`] says when a leader asks whom; a [`StatusCollection`] is what an agent hears for it.
 //! - [`LinkPace`] says how fast long messages may follow each other.
-//! - [`Demand`] estimates the load of each expert.
+//! - [`DemandEstimator`] estimates the load of each expert.
 //! - [`HoldClock`] says how long a rank held a pass.
 //! - [`UnevenNote`] says why a group that is uneven gets no other map.
-//! - [`Unheard`] says which agents entries are to be told of, because nothing is heard of them.
+//! - [`SilenceDetector`] says which agents entries are to be told of, because nothing is heard of them.
 
 mod change;
-mod collection;
 mod decide;
 mod demand;
 mod engine_order;
@@ -41,24 +40,25 @@
 mod order_sends;
 mod pass_clock;
 mod phase;
-mod polls;
+mod poll_schedule;
 mod roster;
 mod settle;
+mod silence_detector;
 mod status;
+mod status_collection;
 mod undo;
 mod uneven;
-mod unheard;
 
-pub use collection::{Collected, Collection};
-pub use demand::Demand;
+pub use demand::DemandEstimator;
 pub use engine_order::{EngineOrder, EngineOrderKind};
 pub use hold_clock::{HoldClock, HoldEvent};
 pub use known_maps::{KnownMaps, UnknownMap};
 pub use leader::{Leader, LeaderAction, LeaderNote};
 pub use link_pace::LinkPace;
-pub use order::{Ended, OrderEnd, OrderKind, RankOrder};
-pub use polls::{Asked, Polls, Sections};
+pub use order::{OrderKind, OrderOutcome, OrderResult, RankOrder};
+pub use poll_schedule::{PollSchedule, SectionPoll, Sections};
 pub use roster::Roster;
-pub use status::{Armed, CountsSample, OrderedBeside, RankStatus, Witness};
+pub use silence_detector::{LastContact, Reachability, SilenceDetector, machines_to_monitor};
+pub use status::{ArmAttempt, Armed, CountsSample, RankStatus, Witness};
+pub use status_collection::{CollectedStatuses, StatusCollection};
 pub use uneven::{Obstacle, UnevenNote};
-pub use unheard::{Heard, Hearing, Unheard, machines_to_hear};
--- a/crates/core/src/map_change/order.rs
+++ b/crates/core/src/map_change/order.rs
@@ -98,7 +98,7 @@
 
 /// What became of an order, by the rank's own word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum OrderEnd {
+pub enum OrderOutcome {
     /// It holds.
     Done,
     /// The rank refused it.
@@ -111,9 +111,9 @@
 
 /// The end of an order, as the agent that gave it tells the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ended {
+pub struct OrderResult {
     /// What became of it.
-    pub end: OrderEnd,
+    pub end: OrderOutcome,
     /// How many times it was given.
     pub sends: u32,
 }
--- a/crates/core/src/map_change/phase.rs
+++ b/crates/core/src/map_change/phase.rs
@@ -1,7 +1,7 @@
 //! Where a change stands.
 
 use super::leader::LeaderAction;
-use super::order::{OrderEnd, OrderKind, RankOrder};
+use super::order::{OrderKind, OrderOutcome, RankOrder};
 use crate::direct::BootMs;
 use indexmap::IndexMap;
 
@@ -158,12 +158,12 @@
 
 #[derive(Clone, Debug)]
 struct OrderRow {
-    giver: u16,
+    delivered_by: u16,
     /// The rank whose agent passes the first copy of the order on.
-    via: Option<u16>,
+    relayed_by: Option<u16>,
     number: u64,
     order: RankOrder,
-    end: Option<OrderEnd>,
+    end: Option<OrderOutcome>,
     send_at: BootMs,
     is_sent: bool,
 }
@@ -176,13 +176,27 @@
 
     /// Adds an order that is sent at once, and given by the agent beside the rank.
     pub(crate) fn add(&mut self, rank: u16, number: u64, order: RankOrder) {
-        self.add_given_by(rank, rank, number, order);
+        self.add_delivered_by(rank, rank, number, order);
     }
 
-    /// Adds an order that is sent at once, and given by the agent beside the rank `giver`.
-    pub(crate) fn add_given_by(&mut self, giver: u16, rank: u16, number: u64, order: RankOrder) {
+    /// Adds an order that is sent at once, and given by the agent beside the rank `delivered_by`.
+    pub(crate) fn add_delivered_by(
+        &mut self,
+        delivered_by: u16,
+        rank: u16,
+        number: u64,
+        order: RankOrder,
+    ) {
         let send_at = BootMs(0);
-        let row = OrderRow { giver, via: None, number, order, end: None, send_at, is_sent: false };
+        let row = OrderRow {
+            delivered_by,
+            relayed_by: None,
+            number,
+            order,
+            end: None,
+            send_at,
+            is_sent: false,
+        };
         self.rows.insert(rank, row);
     }
 
@@ -208,14 +222,14 @@
         for ranks in ranks.chunks(chunk) {
             for rank in &ranks[1..] {
                 if let Some(row) = self.rows.get_mut(rank) {
-                    row.via = Some(ranks[0]);
+                    row.relayed_by = Some(ranks[0]);
                 }
             }
         }
     }
 
     /// Takes note of an order's end; returns whether it belongs to this phase.
-    pub(crate) fn end(&mut self, rank: u16, number: u64, end: OrderEnd) -> bool {
+    pub(crate) fn end(&mut self, rank: u16, number: u64, end: OrderOutcome) -> bool {
         match self.rows.get_mut(&rank).filter(|row| row.number == number) {
             Some(row) => {
                 row.end = Some(end);
@@ -231,10 +245,10 @@
     }
 
     pub(crate) fn all_done(&self) -> bool {
-        self.rows.values().all(|row| row.end == Some(OrderEnd::Done))
+        self.rows.values().all(|row| row.end == Some(OrderOutcome::Done))
     }
 
-    pub(crate) fn any(&self, end: OrderEnd) -> bool {
+    pub(crate) fn any(&self, end: OrderOutcome) -> bool {
         self.rows.values().any(|row| row.end == Some(end))
     }
 
@@ -270,10 +284,16 @@
             }
             row.send_at = now.after(again_ms);
             row.is_sent = true;
-            let (rank, giver, number) = (*rank, row.giver, row.number);
+            let (rank, delivered_by, number) = (*rank, row.delivered_by, row.number);
             // An agent that is gone passes nothing on; the leader itself gives the order again.
-            let via = row.via.take();
-            actions.push(LeaderAction::Send { rank, giver, via, number, order: row.order.clone() });
+            let relayed_by = row.relayed_by.take();
+            actions.push(LeaderAction::Send {
+                rank,
+                delivered_by,
+                relayed_by,
+                number,
+                order: row.order.clone(),
+            });
         }
         self.again_until = again_until;
         actions
--- a/crates/core/src/map_change/polls.rs
+++ b/crates/core/src/map_change/poll_schedule.rs
@@ -84,7 +84,7 @@
 
 /// A section that is to be asked now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Asked {
+pub struct SectionPoll {
     /// Which section; its parity tells halves of the group apart in the demand.
     pub section: u16,
     /// The machine whose agent is asked.
@@ -96,13 +96,13 @@
 /// Asks sections by turns, spread over time: answers that all come at once would fill the link of a
 /// small machine, and a full link loses datagrams.
 #[derive(Clone, Debug, Default)]
-pub struct Polls {
+pub struct PollSchedule {
     next: usize,
     rounds: u64,
     polled_until: BootMs,
 }
 
-impl Polls {
+impl PollSchedule {
     /// Whether counts are asked for.
     #[must_use]
     pub const fn wants_counts(&self, sections: &Sections, is_busy: bool) -> bool {
@@ -110,14 +110,14 @@
     }
 
     /// Has all sections asked at the next look.
-    pub const fn hurry(&mut self) {
+    pub const fn poll_all_next(&mut self) {
         self.polled_until = BootMs(0);
     }
 
     /// Sections to be asked now.
     ///
     /// Each round another agent collects, so that one that is gone hides its section for one round only.
-    pub fn due(&mut self, now: BootMs, sections: &Sections, is_busy: bool) -> Vec<Asked> {
+    pub fn due(&mut self, now: BootMs, sections: &Sections, is_busy: bool) -> Vec<SectionPoll> {
         let count = sections.len() as u64;
         let round_ms = round_ms(sections, is_busy);
         let passed_ms = now.since(self.polled_until);
@@ -130,7 +130,7 @@
         (0..due).map(|_| self.ask(sections)).collect()
     }
 
-    fn ask(&mut self, sections: &Sections) -> Asked {
+    fn ask(&mut self, sections: &Sections) -> SectionPoll {
         let index = self.next % sections.len();
         let machines = &sections.sections[index];
         let turn = self.rounds as usize % machines.len();
@@ -141,7 +141,7 @@
         }
         let others = machines[turn + 1..].iter().chain(&machines[..turn]);
         let section = u16::try_from(index).unwrap_or(u16::MAX);
-        Asked { section, collector: machines[turn], others: others.copied().collect() }
+        SectionPoll { section, collector: machines[turn], others: others.copied().collect() }
     }
 }
 
--- a/crates/core/src/map_change/roster.rs
+++ b/crates/core/src/map_change/roster.rs
@@ -26,7 +26,7 @@
 
 impl Roster {
     /// Takes what is listed now.
-    pub fn take(&mut self, now: BootMs, listed: &[BackendServer]) {
+    pub fn update(&mut self, now: BootMs, listed: &[BackendServer]) {
         for server in listed {
             let row = Row { failure_domain: server.failure_domain.clone(), listed_at: now };
             self.rows.insert(server.address, row);
@@ -37,7 +37,7 @@
 
     /// How many addresses were listed the last time.
     #[must_use]
-    pub const fn listed(&self) -> usize {
+    pub const fn listed_count(&self) -> usize {
         self.listed
     }
 
--- a/crates/core/src/map_change/settle.rs
+++ b/crates/core/src/map_change/settle.rs
@@ -38,7 +38,7 @@
             Some(Ending::Finish { silent, version }) => {
                 self.finish(epoch, held[0], version, &silent, actions);
             }
-            // Asked again as statuses come in.
+            // SectionPoll again as statuses come in.
             None => {}
         }
         true
@@ -71,7 +71,7 @@
     /// one: from then on it orders nothing for that leader.
     fn witness(&self, holder: u16) -> Option<Witness> {
         let status = self.status_of(holder)?;
-        let is_current = status.highest_fence >= self.fence && !status.is_from_afar;
+        let is_current = status.highest_fence >= self.fence && !status.is_read_remotely;
         status.witness.filter(|_| is_current)
     }
 
--- a/crates/core/src/map_change/unheard.rs
+++ b/crates/core/src/map_change/silence_detector.rs
@@ -20,18 +20,18 @@
 
 /// When an agent was heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct LastContact {
     /// Its machine.
     pub machine: IpAddr,
     /// The last time, if ever.
     pub heard_at: Option<BootMs>,
     /// When this agent took its place as leader, if it did.
-    pub given_up_at: Option<BootMs>,
+    pub replaced_at: Option<BootMs>,
 }
 
 /// What entries are to be told of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Hearing {
+pub struct Reachability {
     /// The machine.
     pub machine: IpAddr,
     /// Whether its agent is heard.
@@ -44,7 +44,7 @@
 /// A service may have many groups, whose agents a leader hears now and then. Taken for its own they would seem
 /// to go silent: one would see entries told of machines that are well, by each leader again and again.
 #[must_use]
-pub fn machines_to_hear(
+pub fn machines_to_monitor(
     ranks: &IndexMap<u16, SocketAddr>,
     given_up: Option<IpAddr>,
     own: IpAddr,
@@ -55,7 +55,7 @@
 
 /// What entries were told of the machines of a group.
 #[derive(Clone, Debug, Default)]
-pub struct Unheard {
+pub struct SilenceDetector {
     looked_at: BootMs,
     /// Since when the leader has looked without a long pause.
     awake_since: BootMs,
@@ -63,7 +63,7 @@
     said: IndexMap<IpAddr, BootMs>,
 }
 
-impl Unheard {
+impl SilenceDetector {
     /// Forgets what was told, as an agent that does not lead.
     pub fn clear(&mut self) {
         self.said.clear();
@@ -71,7 +71,7 @@
     }
 
     /// Looks at when other agents were last heard; gives what entries are to be told.
-    pub fn look(&mut self, now: BootMs, others: &[Heard]) -> Vec<Hearing> {
+    pub fn update(&mut self, now: BootMs, others: &[LastContact]) -> Vec<Reachability> {
         if now.since(self.looked_at) > OWN_PAUSE_MS {
             self.awake_since = now;
         }
@@ -81,8 +81,8 @@
         let heard: Vec<IpAddr> =
             self.said.keys().filter(|machine| !silent.contains(machine)).copied().collect();
         self.said.retain(|machine, _| silent.contains(machine));
-        let mut told: Vec<Hearing> =
-            heard.into_iter().map(|machine| Hearing { machine, is_heard: true }).collect();
+        let mut told: Vec<Reachability> =
+            heard.into_iter().map(|machine| Reachability { machine, is_heard: true }).collect();
         // Entries leave no more; and where more are silent, the own link is the likelier cause.
         if silent.len() <= most_left(others.len()) {
             let is_due = |machine: &IpAddr| {
@@ -90,7 +90,7 @@
             };
             let due: Vec<IpAddr> = silent.into_iter().filter(is_due).collect();
             self.said.extend(due.iter().map(|machine| (*machine, now)));
-            told.extend(due.into_iter().map(|machine| Hearing { machine, is_heard: false }));
+            told.extend(due.into_iter().map(|machine| Reachability { machine, is_heard: false }));
         }
         told
     }
@@ -99,9 +99,9 @@
     ///
     /// One that was never heard may not have started yet, and its rank is well. After a sleep of its own
     /// the leader would take all others for silent, so silence counts from its waking.
-    fn is_silent(&self, now: BootMs, other: &Heard) -> bool {
+    fn is_silent(&self, now: BootMs, other: &LastContact) -> bool {
         let Some(heard_at) = other.heard_at else { return false };
-        let is_given_up = other.given_up_at.is_some_and(|at| at >= heard_at);
+        let is_given_up = other.replaced_at.is_some_and(|at| at >= heard_at);
         is_given_up || now.since(heard_at.max(self.awake_since)) > UNHEARD_MS
     }
 }
--- a/crates/core/src/map_change/status.rs
+++ b/crates/core/src/map_change/status.rs
@@ -33,7 +33,8 @@
     pub pace_permille: u32,
     /// Whether the leader read this by itself, because the rank's agent is not heard. Such a word
     /// is some hundred milliseconds old.
-    pub is_from_afar: bool,
+    #[serde(rename = "is_from_afar")]
+    pub is_read_remotely: bool,
     /// How often experts were chosen since the agent's last status.
     pub counts: CountsSample,
     /// Experts that the rank holds, by layer, when the leader does not know them.
@@ -60,12 +61,12 @@
     /// The rank beside it.
     pub rank: u16,
     /// The order to switch that the agent gave to that rank.
-    pub ordered: Option<OrderedBeside>,
+    pub ordered: Option<ArmAttempt>,
 }
 
 /// An order to switch, given to the rank beside a leader by another rank's agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OrderedBeside {
+pub struct ArmAttempt {
     /// As this pass begins.
     pub step: u64,
     /// Whether the rank is armed; it may or may not be otherwise.
@@ -77,8 +78,8 @@
     pub(super) fn knows(&self, step: u64) -> Knowledge {
         match self.ordered.filter(|ordered| ordered.step == step) {
             None => Knowledge::NotArmed,
-            Some(OrderedBeside { is_armed: true, .. }) => Knowledge::Armed,
-            Some(OrderedBeside { is_armed: false, .. }) => Knowledge::InDoubt,
+            Some(ArmAttempt { is_armed: true, .. }) => Knowledge::Armed,
+            Some(ArmAttempt { is_armed: false, .. }) => Knowledge::InDoubt,
         }
     }
 }
--- a/crates/core/src/map_change/collection.rs
+++ b/crates/core/src/map_change/status_collection.rs
@@ -10,7 +10,7 @@
 
 /// What an agent has collected for the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Collected {
+pub struct CollectedStatuses {
     /// The section, by the leader's number.
     pub section: u16,
     /// The statuses without their counts, each with its agent's address.
@@ -21,21 +21,21 @@
 
 /// Statuses on their way to a leader.
 #[derive(Clone, Debug)]
-pub struct Collection {
+pub struct StatusCollection {
     awaited: usize,
     /// Until when what was collected is of the present.
     tell_until: BootMs,
-    collected: Collected,
+    collected: CollectedStatuses,
     choices: Vec<u64>,
 }
 
-impl Collection {
+impl StatusCollection {
     /// Begins to collect the statuses of `awaited` agents of a section.
     #[must_use]
     pub fn new(now: BootMs, section: u16, awaited: usize) -> Self {
         let tell_until = now.after(MOST_AGE_MS);
         let counts = CountsSample::default();
-        let collected = Collected { section, statuses: Vec::new(), counts };
+        let collected = CollectedStatuses { section, statuses: Vec::new(), counts };
         Self { awaited, tell_until, collected, choices: Vec::new() }
     }
 
@@ -64,7 +64,7 @@
     /// An agent whose machine freezes while it collects goes on seconds later. Its leader would take what
     /// ranks said then for their present word, and wait for passes and maps that are over.
     #[must_use]
-    pub fn finish(mut self, now: BootMs) -> Option<Collected> {
+    pub fn finish(mut self, now: BootMs) -> Option<CollectedStatuses> {
         if self.collected.statuses.is_empty() || now > self.tell_until {
             return None;
         }
--- a/crates/core/src/map_change/undo.rs
+++ b/crates/core/src/map_change/undo.rs
@@ -2,7 +2,7 @@
 
 use super::change::FENCE_STEP;
 use super::leader::{Leader, LeaderAction};
-use super::order::{OrderEnd, OrderKind};
+use super::order::{OrderKind, OrderOutcome};
 use super::phase::{Orders, Phase, UndoStage, Undoing};
 
 impl Leader {
@@ -41,7 +41,8 @@
     pub(super) fn undo(&mut self, epoch: u64, undoing: Undoing, actions: &mut Vec<LeaderAction>) {
         let version = undoing.version;
         if !undoing.orders.all_done() {
-            let is_refused = undoing.orders.any(OrderEnd::Refused) && undoing.orders.open() == 0;
+            let is_refused =
+                undoing.orders.any(OrderOutcome::Refused) && undoing.orders.open() == 0;
             if is_refused {
                 // Decided anew from fresh statuses.
                 if undoing.stage == UndoStage::Fencing {
--- a/crates/core/src/map_change/uneven.rs
+++ b/crates/core/src/map_change/uneven.rs
@@ -170,7 +170,7 @@
                 _ if !status.is_open => Some(Obstacle::NotOpen { rank }),
                 _ if status.held_step.is_some() => Some(Obstacle::Held { rank }),
                 _ if status.armed.is_some() => Some(Obstacle::Armed { rank }),
-                _ if status.map != first_map || status.is_from_afar => {
+                _ if status.map != first_map || status.is_read_remotely => {
                     Some(Obstacle::NotAligned { rank })
                 }
                 _ => None,
--- a/crates/core/tests/engine_orders.rs
+++ b/crates/core/tests/engine_orders.rs
@@ -62,10 +62,10 @@
     let change = Arc::new(MapChange::between(&before, &after));
     let mut known = KnownMaps::default();
     let changed = OrderKind::PrepareChange { version: 5, base: 4, change };
-    expect_that!(known.whole(&changed), err(anything()), "the base was never told");
+    expect_that!(known.resolve(&changed), err(anything()), "the base was never told");
     let base = OrderKind::Prepare { version: 4, map: before };
-    expect_that!(known.whole(&base), ok(eq(&base)));
-    let whole = known.whole(&changed).ok();
+    expect_that!(known.resolve(&base), ok(eq(&base)));
+    let whole = known.resolve(&changed).ok();
     let told = whole.and_then(|kind| EngineOrder::of(&order(kind), None)).map(|told| told.kind);
     expect_that!(told, some(eq(&EngineOrderKind::Prepare { version: 5, map: after })));
 }
--- a/crates/core/tests/map_change_support/mod.rs
+++ b/crates/core/tests/map_change_support/mod.rs
@@ -4,8 +4,8 @@
 
 use hickorycross_core::direct::{BootMs, GroupDimensions};
 use hickorycross_core::map_change::{
-    Armed, CountsSample, Ended, KnownMaps, Leader, LeaderAction, OrderEnd, OrderKind,
-    OrderedBeside, RankOrder, RankStatus, Witness,
+    ArmAttempt, Armed, CountsSample, KnownMaps, Leader, LeaderAction, OrderKind, OrderOutcome,
+    OrderResult, RankOrder, RankStatus, Witness,
 };
 use indexmap::IndexMap;
 use rand::{RngExt, SeedableRng};
@@ -174,7 +174,7 @@
     /// Whether an agent asks ranks of other machines to hold the next pass.
     asks_next: Vec<bool>,
     tasks: Vec<Vec<Task>>,
-    ended: Vec<IndexMap<(usize, u64), OrderEnd>>,
+    ended: Vec<IndexMap<(usize, u64), OrderOutcome>>,
     late: Vec<LateOrder>,
     next_fence: u64,
     hot: u16,
@@ -286,7 +286,7 @@
             self.next_fence += 1 << 20;
             let (salt, own_rank) = (self.rng.random::<u64>(), rank as u16);
             let leader = Leader::new("g", own_rank, self.next_fence, salt);
-            let leader = leader.after_a_watched_one(self.now);
+            let leader = leader.with_possible_hold(self.now);
             self.add_leader(own_rank, leader);
         }
     }
@@ -373,14 +373,14 @@
 
     /// What a rank does with an order; the rules are the platform's. `named` is the map that a
     /// disarming names.
-    fn apply(&mut self, rank: usize, order: &RankOrder, named: Option<u64>) -> OrderEnd {
+    fn apply(&mut self, rank: usize, order: &RankOrder, named: Option<u64>) -> OrderOutcome {
         let (now, step) = (self.now, self.step);
         let place = &mut self.ranks[rank];
         if order.epoch != place.epoch || self.down_until[rank] > now {
-            return OrderEnd::Refused;
+            return OrderOutcome::Refused;
         }
         if order.fence < place.fence && !self.trouble.ignores_fences {
-            return OrderEnd::Fenced;
+            return OrderOutcome::Fenced;
         }
         place.fence = place.fence.max(order.fence);
         match &order.kind {
@@ -388,7 +388,7 @@
                 let newest = place.prepared.as_ref().map_or(place.map, |(version, _)| *version);
                 let newest = newest.max(place.copy_until.as_ref().map_or(0, |copy| copy.1));
                 if *version <= newest || place.armed.is_some() {
-                    return OrderEnd::Refused;
+                    return OrderOutcome::Refused;
                 }
                 let own = map.layers.iter().map(|layer| layer.experts_of_rank[rank].clone());
                 let own: Vec<Vec<u16>> = own.collect();
@@ -398,7 +398,7 @@
                 let newest = place.prepared.as_ref().map_or(place.map, |(version, _)| *version);
                 let newest = newest.max(place.copy_until.as_ref().map_or(0, |copy| copy.1));
                 if *version <= newest || place.armed.is_some() {
-                    return OrderEnd::Refused;
+                    return OrderOutcome::Refused;
                 }
                 place.copy_until = None;
                 place.prepared = Some((*version, place.experts.clone()));
@@ -406,7 +406,7 @@
             OrderKind::Arm { version, step: at } => {
                 let is_prepared = place.prepared.as_ref().is_some_and(|(held, _)| held == version);
                 if !is_prepared || *at <= step {
-                    return OrderEnd::Refused;
+                    return OrderOutcome::Refused;
                 }
                 place.armed = Some(Armed { version: *version, step: *at });
             }
@@ -416,11 +416,11 @@
             }
             OrderKind::Fence { .. } => {}
             OrderKind::HoldAhead { .. } | OrderKind::PrepareChange { .. } => {
-                return OrderEnd::Refused;
+                return OrderOutcome::Refused;
             }
             OrderKind::Hold { step: at } => {
                 if *at <= step || place.held_step.is_some_and(|held| held != *at) {
-                    return OrderEnd::Refused;
+                    return OrderOutcome::Refused;
                 }
                 place.held_step = Some(*at);
             }
@@ -430,7 +430,7 @@
                 }
             }
         }
-        OrderEnd::Done
+        OrderOutcome::Done
     }
 
     fn shows(&self, rank: usize, order: &RankOrder) -> bool {
@@ -475,7 +475,7 @@
                     continue;
                 }
                 if task.order.fence < self.agents_fence[rank] {
-                    self.end(rank, &task, OrderEnd::Fenced);
+                    self.end(rank, &task, OrderOutcome::Fenced);
                     continue;
                 }
                 match self.attempt(rank, rank, &task.order) {
@@ -494,35 +494,40 @@
 
     /// The pass that an agent asks a rank to hold. It knows what the own rank holds already; of another
     /// machine's rank it does not, and with each refusal it asks for the next pass or the one meant.
-    fn step_ahead(&self, giver: usize, rank: usize, steps: u8) -> u64 {
-        if giver == rank {
+    fn step_ahead(&self, delivered_by: usize, rank: usize, steps: u8) -> u64 {
+        if delivered_by == rank {
             return self.ranks[rank].held_step.unwrap_or(self.step + u64::from(steps));
         }
-        self.step + if self.asks_next[giver] { 1 } else { u64::from(steps) }
+        self.step + if self.asks_next[delivered_by] { 1 } else { u64::from(steps) }
     }
 
-    /// The agent of the rank `giver` gives an order to `rank` once.
-    fn attempt(&mut self, giver: usize, rank: usize, order: &RankOrder) -> Option<OrderEnd> {
+    /// The agent of the rank `delivered_by` gives an order to `rank` once.
+    fn attempt(
+        &mut self,
+        delivered_by: usize,
+        rank: usize,
+        order: &RankOrder,
+    ) -> Option<OrderOutcome> {
         let mut order = order.clone();
         if let OrderKind::Fence { step } = order.kind
-            && giver != rank
+            && delivered_by != rank
         {
             order.kind = OrderKind::Hold { step };
         }
         let is_ahead = matches!(order.kind, OrderKind::HoldAhead { .. });
         if let OrderKind::HoldAhead { steps } = order.kind {
-            let step = self.step_ahead(giver, rank, steps);
+            let step = self.step_ahead(delivered_by, rank, steps);
             order.kind = OrderKind::Hold { step };
         }
         let order = &order;
         // What a rank is armed for only its own agent knows.
-        let named = self.armed_version(rank).filter(|_| giver == rank);
+        let named = self.armed_version(rank).filter(|_| delivered_by == rank);
         let shows_fence = matches!(
             order.kind,
             OrderKind::Disarm { .. } | OrderKind::Hold { .. } | OrderKind::Fence { .. }
         );
         if self.shows(rank, order) && !shows_fence {
-            return Some(OrderEnd::Done);
+            return Some(OrderOutcome::Done);
         }
         if self.chance(self.trouble.late_permille) {
             let delay_ms = self.rng.random_range(2_000..12_000);
@@ -531,27 +536,31 @@
             return None;
         }
         if self.trouble.refused_permille > 0 && self.chance(self.trouble.refused_permille) {
-            return Some(OrderEnd::Refused);
+            return Some(OrderOutcome::Refused);
         }
         let end = self.apply(rank, order, named);
         if self.chance(self.trouble.lost_permille) {
             return None;
         }
         match end {
-            OrderEnd::Fenced => Some(end),
-            OrderEnd::Refused if is_ahead => {
-                self.asks_next[giver] = !self.asks_next[giver];
+            OrderOutcome::Fenced => Some(end),
+            OrderOutcome::Refused if is_ahead => {
+                self.asks_next[delivered_by] = !self.asks_next[delivered_by];
                 None
             }
-            _ if self.shows(rank, order) => Some(OrderEnd::Done),
-            _ => Some(OrderEnd::Refused),
+            _ if self.shows(rank, order) => Some(OrderOutcome::Done),
+            _ => Some(OrderOutcome::Refused),
         }
     }
 
-    fn end(&mut self, rank: usize, task: &Task, end: OrderEnd) {
+    fn end(&mut self, rank: usize, task: &Task, end: OrderOutcome) {
         self.ended[rank].insert((task.leader, task.number), end);
         if let Some(leader) = &mut self.leaders[task.leader] {
-            leader.on_ended(rank as u16, task.number, Ended { end, sends: task.sends });
+            leader.on_order_result(
+                rank as u16,
+                task.number,
+                OrderResult { end, sends: task.sends },
+            );
         }
     }
 
@@ -582,18 +591,19 @@
                 }
             }
             for action in leader.tick(self.now, &DIMENSIONS) {
-                let LeaderAction::Send { rank, giver, via, number, order } = action else {
+                let LeaderAction::Send { rank, delivered_by, relayed_by, number, order } = action
+                else {
                     continue;
                 };
-                let (rank, giver) = (usize::from(rank), usize::from(giver));
-                if via.is_some_and(|via| self.is_mute(usize::from(via))) {
+                let (rank, delivered_by) = (usize::from(rank), usize::from(delivered_by));
+                if relayed_by.is_some_and(|relayed_by| self.is_mute(usize::from(relayed_by))) {
                     // Nobody passes it on.
-                } else if giver == rank && self.is_read_from_afar(rank, &leader) {
+                } else if delivered_by == rank && self.is_read_from_afar(rank, &leader) {
                     self.order_from_afar(own_rank, rank, number, &order, &mut leader);
-                } else if giver == rank {
+                } else if delivered_by == rank {
                     self.take_order(index, rank, number, order, &mut leader);
                 } else {
-                    self.order_from_afar(giver, rank, number, &order, &mut leader);
+                    self.order_from_afar(delivered_by, rank, number, &order, &mut leader);
                 }
             }
             self.was_held[index] = is_held;
@@ -748,12 +758,12 @@
     /// Whether a leader orders a rank itself: its agent is not heard, and the rank was read.
     fn is_read_from_afar(&self, rank: usize, leader: &Leader) -> bool {
         let is_dead = self.agents_dead_until[rank] > self.now && !self.is_frozen(rank);
-        is_dead && leader.silent_ranks(self.now, leader.fresh_ms()).contains(&(rank as u16))
+        is_dead && leader.silent_ranks(self.now, leader.max_silence_ms()).contains(&(rank as u16))
     }
 
     /// A leader reads ranks whose agents it does not hear; what they say of themselves is old.
     fn read_from_afar(&mut self, leader: &mut Leader) {
-        for rank in leader.silent_ranks(self.now, leader.fresh_ms()) {
+        for rank in leader.silent_ranks(self.now, leader.max_silence_ms()) {
             let index = usize::from(rank);
             if self.is_frozen(index) {
                 continue;
@@ -769,7 +779,7 @@
             let status = RankStatus {
                 highest_fence: 0,
                 witness: None,
-                is_from_afar: true,
+                is_read_remotely: true,
                 counts: CountsSample::default(),
                 experts: None,
                 ..self.status(rank)
@@ -795,52 +805,52 @@
         self.machines_frozen_until[machine] = self.now.after(freeze_ms);
     }
 
-    /// The agent of the rank `giver` gives an order to a rank on another machine.
+    /// The agent of the rank `delivered_by` gives an order to a rank on another machine.
     fn order_from_afar(
         &mut self,
-        giver: usize,
+        delivered_by: usize,
         rank: usize,
         number: u64,
         order: &RankOrder,
         leader: &mut Leader,
     ) {
-        if self.is_mute(giver) {
+        if self.is_mute(delivered_by) {
             return;
         }
-        if order.fence < self.agents_fence[giver] {
-            leader.on_end(rank as u16, number, OrderEnd::Fenced);
+        if order.fence < self.agents_fence[delivered_by] {
+            leader.on_order_outcome(rank as u16, number, OrderOutcome::Fenced);
             return;
         }
         let beside = match order.kind {
             // The leader itself arms ranks whose agents are dead.
-            _ if self.leads(giver, order.fence) => None,
+            _ if self.leads(delivered_by, order.fence) => None,
             OrderKind::Arm { step, .. } => Some(Witness {
                 fence: order.fence,
                 rank: rank as u16,
-                ordered: Some(OrderedBeside { step, is_armed: true }),
+                ordered: Some(ArmAttempt { step, is_armed: true }),
             }),
             _ => None,
         };
-        if beside.is_some() && self.witnesses[giver] != beside {
-            self.witnesses[giver] = beside.map(in_doubt);
+        if beside.is_some() && self.witnesses[delivered_by] != beside {
+            self.witnesses[delivered_by] = beside.map(in_doubt);
         }
         if self.is_frozen(rank) {
             return;
         }
-        if let Some(end) = self.attempt(giver, rank, order) {
-            leader.on_end(rank as u16, number, end);
-            self.freeze_giver(giver, order);
-            if beside.is_some() && end == OrderEnd::Done {
-                self.witnesses[giver] = beside;
+        if let Some(end) = self.attempt(delivered_by, rank, order) {
+            leader.on_order_outcome(rank as u16, number, end);
+            self.freeze_giver(delivered_by, order);
+            if beside.is_some() && end == OrderOutcome::Done {
+                self.witnesses[delivered_by] = beside;
             }
         }
     }
 
     /// Freezes a machine that has just given an order to hold, at times.
-    fn freeze_giver(&mut self, giver: usize, order: &RankOrder) {
+    fn freeze_giver(&mut self, delivered_by: usize, order: &RankOrder) {
         let is_hold = matches!(order.kind, OrderKind::HoldAhead { .. });
         if is_hold && self.chance(self.trouble.giver_freezes_permille) {
-            self.freeze(giver);
+            self.freeze(delivered_by);
         }
     }
 
@@ -853,18 +863,18 @@
         leader: &mut Leader,
     ) {
         if order.fence < self.agents_fence[rank] {
-            leader.on_end(rank as u16, number, OrderEnd::Fenced);
+            leader.on_order_outcome(rank as u16, number, OrderOutcome::Fenced);
             return;
         }
         self.agents_fence[rank] = order.fence;
         if let Some(end) = self.ended[rank].get(&(index, number)) {
-            leader.on_end(rank as u16, number, *end);
+            leader.on_order_outcome(rank as u16, number, *end);
             return;
         }
         let is_known = |task: &Task| task.leader == index && task.number == number;
         if !self.tasks[rank].iter().any(is_known) {
-            let Ok(kind) = self.known_maps[rank].whole(&order.kind) else {
-                leader.on_end(rank as u16, number, OrderEnd::LacksMap);
+            let Ok(kind) = self.known_maps[rank].resolve(&order.kind) else {
+                leader.on_order_outcome(rank as u16, number, OrderOutcome::LacksMap);
                 return;
             };
             let order = RankOrder { kind, ..order };
@@ -900,7 +910,7 @@
             highest_fence: self.agents_fence[rank],
             witness: self.witnesses[rank],
             pace_permille: 1_000,
-            is_from_afar: false,
+            is_read_remotely: false,
             counts: CountsSample::of(&choices.collect::<Vec<_>>()),
             experts: Some(place.experts.clone()),
         }
@@ -909,7 +919,7 @@
 
 /// A witness whose order to arm was given and not answered.
 fn in_doubt(witness: Witness) -> Witness {
-    let ordered = witness.ordered.map(|ordered| OrderedBeside { is_armed: false, ..ordered });
+    let ordered = witness.ordered.map(|ordered| ArmAttempt { is_armed: false, ..ordered });
     Witness { ordered, ..witness }
 }
 
--- a/crates/core/tests/map_demand.rs
+++ b/crates/core/tests/map_demand.rs
@@ -1,7 +1,7 @@
 //! What the leader of a group takes for the present demand.
 
 use hickorycross_core::direct::BootMs;
-use hickorycross_core::map_change::{CountsSample, Demand};
+use hickorycross_core::map_change::{CountsSample, DemandEstimator};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -74,7 +74,7 @@
 fn the_time_before_a_shift_does_not_count() {
     for case in CASES {
         let mut random = ChaCha8Rng::seed_from_u64(7);
-        let mut demand = Demand::default();
+        let mut demand = DemandEstimator::default();
         let (mut seen, mut liked) = (0, 0);
         for at_ms in (PAUSE_MS..=END_MS).step_by(PAUSE_MS as usize) {
             liked = usize::from(case.shifts_at_ms.is_some_and(|shift_ms| at_ms > shift_ms));
@@ -112,11 +112,11 @@
     choices
 }
 
-fn share_of(case: &Case, liked: usize, demand: &Demand) -> f64 {
+fn share_of(case: &Case, liked: usize, demand: &DemandEstimator) -> f64 {
     let of_liked = demand.loads().iter().flat_map(|loads| loads.iter().enumerate());
     let sum: f64 =
         of_liked.filter(|(expert, _)| is_liked(case, liked, *expert)).map(|(_, load)| load).sum();
-    sum / demand.seen()
+    sum / demand.total_choices()
 }
 
 /// Choices, and what may be told of them.
--- a/crates/core/tests/map_held.rs
+++ b/crates/core/tests/map_held.rs
@@ -7,7 +7,7 @@
 use googletest::prelude::*;
 use hickorycross_core::direct::BootMs;
 use hickorycross_core::map_change::{
-    Armed, CountsSample, Leader, LeaderAction, OrderEnd, OrderKind, OrderedBeside, RankStatus,
+    ArmAttempt, Armed, CountsSample, Leader, LeaderAction, OrderKind, OrderOutcome, RankStatus,
     Witness,
 };
 use map_change_support::{DIMENSIONS, Trouble, World};
@@ -102,7 +102,7 @@
     /// The rank beside the new leader.
     leads: u16,
     /// What the holder's agent did at the rank beside the leader before.
-    ordered: Option<OrderedBeside>,
+    ordered: Option<ArmAttempt>,
     /// Whether the other ranks are armed.
     are_armed: bool,
     /// Whether the rank beside the leader before answers.
@@ -111,9 +111,9 @@
     orders: &'static [&'static str],
 }
 
-const IN_DOUBT: OrderedBeside = OrderedBeside { step: HELD_STEP, is_armed: false };
-const ARMED: OrderedBeside = OrderedBeside { step: HELD_STEP, is_armed: true };
-const EARLIER: OrderedBeside = OrderedBeside { step: HELD_STEP - 9, is_armed: true };
+const IN_DOUBT: ArmAttempt = ArmAttempt { step: HELD_STEP, is_armed: false };
+const ARMED: ArmAttempt = ArmAttempt { step: HELD_STEP, is_armed: true };
+const EARLIER: ArmAttempt = ArmAttempt { step: HELD_STEP - 9, is_armed: true };
 
 impl Left {
     fn status(&self, rank: u16, fence: u64) -> RankStatus {
@@ -146,7 +146,7 @@
                 let LeaderAction::Send { rank, number, order, .. } = action else { continue };
                 is_held &= !matches!(order.kind, OrderKind::Go { .. });
                 kinds.push(order.kind.as_str());
-                leader.on_end(rank, number, OrderEnd::Done);
+                leader.on_order_outcome(rank, number, OrderOutcome::Done);
             }
         }
         kinds.dedup();
@@ -294,8 +294,8 @@
         let actions = leader.tick(now, &DIMENSIONS).into_iter();
         for action in actions.chain(leader.tick(again, &DIMENSIONS)) {
             let LeaderAction::Send { rank, number, order, .. } = action else { continue };
-            let end = if refuses(&order.kind) { OrderEnd::Refused } else { OrderEnd::Done };
-            leader.on_end(rank, number, end);
+            let end = if refuses(&order.kind) { OrderOutcome::Refused } else { OrderOutcome::Done };
+            leader.on_order_outcome(rank, number, end);
             if kinds.last().map(OrderKind::as_str) != Some(order.kind.as_str()) {
                 kinds.push(order.kind);
             }
--- a/crates/core/tests/map_orders.rs
+++ b/crates/core/tests/map_orders.rs
@@ -5,7 +5,7 @@
 
 use hickorycross_core::direct::{BootMs, GroupDimensions};
 use hickorycross_core::map_change::{
-    CountsSample, Leader, LeaderAction, OrderEnd, OrderKind, RankStatus, Witness,
+    CountsSample, Leader, LeaderAction, OrderKind, OrderOutcome, RankStatus, Witness,
 };
 use hickorycross_core::placement::{ExpertMap, LayerPlacement, bottleneck_load};
 use indexmap::IndexMap;
@@ -175,7 +175,7 @@
             let OrderKind::Prepare { .. } = order.kind else { continue };
             sent.entry(rank).or_default().push(now_ms);
             if rank != 3 {
-                leader.on_end(rank, number, OrderEnd::Done);
+                leader.on_order_outcome(rank, number, OrderOutcome::Done);
             }
         }
     }
@@ -223,7 +223,7 @@
                     // A moment for the copies, in which passes are seen.
                     OrderKind::Prepare { version, .. } if now_ms >= 1_000 => {
                         prepared = Some(version);
-                        leader.on_end(rank, number, OrderEnd::Done);
+                        leader.on_order_outcome(rank, number, OrderOutcome::Done);
                     }
                     OrderKind::HoldAhead { steps } => held = held.or(Some(steps)),
                     _ => {}
--- a/crates/core/tests/map_polls.rs
+++ b/crates/core/tests/map_polls.rs
@@ -5,7 +5,9 @@
 
 use googletest::prelude::*;
 use hickorycross_core::direct::BootMs;
-use hickorycross_core::map_change::{Collection, CountsSample, Polls, RankStatus, Sections};
+use hickorycross_core::map_change::{
+    CountsSample, PollSchedule, RankStatus, Sections, StatusCollection,
+};
 use indexmap::{IndexMap, IndexSet};
 use rank_status::open_rank;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -64,7 +66,7 @@
     let machines = machines(case);
     let domains: IndexMap<IpAddr, &String> = machines.iter().map(|it| (it.1, &it.0)).collect();
     let sections = Sections::of(&machines, case.counts_per_rank);
-    let mut polls = Polls::default();
+    let mut polls = PollSchedule::default();
     let mut asked = Asked { times_ms: IndexMap::new(), answers: 0, collectors: IndexSet::new() };
     for now_ms in (BEGIN_MS..BEGIN_MS + SPAN_MS).step_by(TICK_MS as usize) {
         for it in polls.due(BootMs(now_ms), &sections, false) {
@@ -167,7 +169,7 @@
         },
     ];
     for case in cases {
-        let mut collection = Collection::new(BootMs(BEGIN_MS), 7, 3);
+        let mut collection = StatusCollection::new(BootMs(BEGIN_MS), 7, 3);
         for (rank, counts) in (0..).zip(case.counts) {
             collection.add(agent(rank), status(rank, counts));
         }
@@ -196,7 +198,7 @@
 #[gtest]
 fn what_was_collected_before_a_freeze_is_not_told() {
     for (age_ms, is_told) in [(0, true), (60, true), (4_000, false)] {
-        let mut collection = Collection::new(BootMs(BEGIN_MS), 7, 2);
+        let mut collection = StatusCollection::new(BootMs(BEGIN_MS), 7, 2);
         collection.add(agent(0), status(0, &[1, 2]));
         let collected = collection.finish(BootMs(BEGIN_MS + age_ms));
         expect_that!(collected.is_some(), eq(is_told), "after {age_ms} ms");
--- a/crates/core/tests/map_relay.rs
+++ b/crates/core/tests/map_relay.rs
@@ -5,7 +5,7 @@
 
 use hickorycross_core::direct::{BootMs, GroupDimensions};
 use hickorycross_core::map_change::{
-    CountsSample, Leader, LeaderAction, OrderEnd, OrderKind, RankStatus,
+    CountsSample, Leader, LeaderAction, OrderKind, OrderOutcome, RankStatus,
 };
 use indexmap::{IndexMap, IndexSet};
 use rank_status::open_rank;
@@ -72,26 +72,35 @@
         let now = BootMs(now_ms);
         (0..case.ranks).for_each(|it| leader.on_status(now, status(case, it), &dimensions(case)));
         let orders = leader.tick(now, &dimensions(case)).into_iter().filter_map(|action| {
-            let LeaderAction::Send { rank, via, number, order, .. } = action else { return None };
-            matches!(order.kind, OrderKind::Prepare { .. }).then_some((rank, via, number))
+            let LeaderAction::Send { rank, relayed_by, number, order, .. } = action else {
+                return None;
+            };
+            matches!(order.kind, OrderKind::Prepare { .. }).then_some((rank, relayed_by, number))
         });
         let orders: Vec<_> = orders.collect();
         if !orders.is_empty() && told.begun_at_ms.is_none() {
             told.begun_at_ms = Some(now_ms);
-            let relays: IndexSet<u16> = orders.iter().filter_map(|(_, via, _)| *via).collect();
+            let relays: IndexSet<u16> =
+                orders.iter().filter_map(|(_, relayed_by, _)| *relayed_by).collect();
             gone = case.gone.map(|place| relays[place]);
         }
-        let sent: Vec<u16> =
-            orders.iter().filter(|(_, via, _)| via.is_none()).map(|it| it.0).collect();
+        let sent: Vec<u16> = orders
+            .iter()
+            .filter(|(_, relayed_by, _)| relayed_by.is_none())
+            .map(|it| it.0)
+            .collect();
         told.most_sent = told.most_sent.max(sent.len());
-        for (rank, via, number) in orders {
-            assert!(via.is_none_or(|via| sent.contains(&via)), "rank {rank} via {via:?}");
-            if via.is_some() && via == gone {
+        for (rank, relayed_by, number) in orders {
+            assert!(
+                relayed_by.is_none_or(|relayed_by| sent.contains(&relayed_by)),
+                "rank {rank} relayed_by {relayed_by:?}"
+            );
+            if relayed_by.is_some() && relayed_by == gone {
                 continue;
             }
             told.reached_at_ms.entry(rank).or_insert(now_ms);
             if Some(rank) != gone {
-                leader.on_end(rank, number, OrderEnd::Done);
+                leader.on_order_outcome(rank, number, OrderOutcome::Done);
             }
         }
     }
--- a/crates/core/tests/map_roster.rs
+++ b/crates/core/tests/map_roster.rs
@@ -67,7 +67,7 @@
         let mut roster = Roster::default();
         for (at_ms, machines) in case.listings {
             let listed: Vec<BackendServer> = machines.iter().copied().map(server).collect();
-            roster.take(BootMs(*at_ms), &listed);
+            roster.update(BootMs(*at_ms), &listed);
         }
         let machines = roster.machines().map(|(_, machine)| machine);
         let mut known: Vec<IpAddr> = machines.collect();
@@ -75,6 +75,6 @@
         let expected: Vec<IpAddr> =
             case.known.iter().map(|machine| server(*machine).address.ip()).collect();
         expect_that!(known, eq(&expected), "{}", case.name);
-        expect_that!(roster.listed(), eq(case.listed), "{}", case.name);
+        expect_that!(roster.listed_count(), eq(case.listed), "{}", case.name);
     }
 }
--- a/crates/core/tests/map_told.rs
+++ b/crates/core/tests/map_told.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use hickorycross_core::direct::{BootMs, GroupDimensions};
 use hickorycross_core::map_change::{
-    CountsSample, KnownMaps, Leader, LeaderAction, OrderEnd, OrderKind, RankOrder, RankStatus,
+    CountsSample, KnownMaps, Leader, LeaderAction, OrderKind, OrderOutcome, RankOrder, RankStatus,
     Witness,
 };
 use hickorycross_core::placement::{ExpertMap, LayerPlacement, MapChange};
@@ -99,7 +99,7 @@
                     }
                     _ => {}
                 }
-                self.leader.on_end(rank, number, OrderEnd::Done);
+                self.leader.on_order_outcome(rank, number, OrderOutcome::Done);
             }
         }
         // The leader sees that all have switched.
@@ -115,7 +115,7 @@
 }
 
 fn map_of(order: &RankOrder, known: &mut KnownMaps) -> Arc<ExpertMap> {
-    match known.whole(&order.kind) {
+    match known.resolve(&order.kind) {
         Ok(OrderKind::Prepare { map, .. }) => map,
         other => panic!("no whole map: {other:?}"),
     }
@@ -173,10 +173,10 @@
             if rank == 5 {
                 told.push(order.kind.as_str());
                 let is_first = number_of_5.replace(number).is_none();
-                let end = if is_first { OrderEnd::LacksMap } else { OrderEnd::Done };
-                group.leader.on_end(rank, number, end);
+                let end = if is_first { OrderOutcome::LacksMap } else { OrderOutcome::Done };
+                group.leader.on_order_outcome(rank, number, end);
             } else {
-                group.leader.on_end(rank, number, OrderEnd::Done);
+                group.leader.on_order_outcome(rank, number, OrderOutcome::Done);
             }
         }
     }
@@ -205,7 +205,7 @@
             now_ms += DECISION_MS;
             first_ms.get_or_insert(now_ms);
         }
-        for action in leader.due(BootMs(now_ms)) {
+        for action in leader.due_orders(BootMs(now_ms)) {
             let LeaderAction::Send { rank, .. } = action else { continue };
             let times = sent.entry(rank).or_default();
             *times += 1;
--- a/crates/core/tests/map_uneven.rs
+++ b/crates/core/tests/map_uneven.rs
@@ -77,7 +77,7 @@
         },
         Case {
             name: "a rank is read from another machine",
-            told: |status| second(status, |it| RankStatus { is_from_afar: true, ..it }),
+            told: |status| second(status, |it| RankStatus { is_read_remotely: true, ..it }),
             obstacle: Some(Obstacle::NotAligned { rank: 2 }),
         },
         Case {
--- a/crates/core/tests/map_unheard.rs
+++ b/crates/core/tests/map_unheard.rs
@@ -2,7 +2,9 @@
 
 use googletest::prelude::*;
 use hickorycross_core::direct::BootMs;
-use hickorycross_core::map_change::{Heard, Hearing, Unheard, machines_to_hear};
+use hickorycross_core::map_change::{
+    LastContact, Reachability, SilenceDetector, machines_to_monitor,
+};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// Pause between looks.
@@ -15,22 +17,22 @@
 /// Looks from `from_ms` to `to_ms` at machines, each heard at every look until its moment in `until_ms`;
 /// nothing was ever heard of those without one. Gives what was told, with the machine's index.
 fn look(
-    unheard: &mut Unheard,
+    unheard: &mut SilenceDetector,
     from_ms: u64,
     to_ms: u64,
     until_ms: &[Option<u64>],
 ) -> Vec<(usize, bool)> {
     let mut told = Vec::new();
     for at_ms in (from_ms..=to_ms).step_by(LOOK_MS as usize) {
-        let others: Vec<Heard> = (0..)
+        let others: Vec<LastContact> = (0..)
             .zip(until_ms)
-            .map(|(index, until_ms)| Heard {
+            .map(|(index, until_ms)| LastContact {
                 machine: machine(index),
                 heard_at: until_ms.map(|until_ms| BootMs(until_ms.min(at_ms))),
-                given_up_at: None,
+                replaced_at: None,
             })
             .collect();
-        for Hearing { machine: it, is_heard } in unheard.look(BootMs(at_ms), &others) {
+        for Reachability { machine: it, is_heard } in unheard.update(BootMs(at_ms), &others) {
             told.push(((0..until_ms.len()).position(|i| machine(i) == it).unwrap(), is_heard));
         }
     }
@@ -66,7 +68,7 @@
 #[gtest]
 fn entries_are_told_of_agents_that_go_silent() {
     for case in CASES {
-        let mut unheard = Unheard::default();
+        let mut unheard = SilenceDetector::default();
         let told = look(&mut unheard, 1_000, 2_100, case.until_ms);
         expect_that!(told, eq(case.told), "{}", case.name);
     }
@@ -75,7 +77,7 @@
 /// It is said again while the silence lasts, and taken back when the agent is heard.
 #[gtest]
 fn what_was_told_is_kept_up_and_taken_back() {
-    let mut unheard = Unheard::default();
+    let mut unheard = SilenceDetector::default();
     let silent = [LONG, Some(1_000)];
     let told = look(&mut unheard, 1_000, 4_000, &silent);
     expect_that!(told, elements_are![eq(&(1, false)), eq(&(1, false))]);
@@ -89,7 +91,7 @@
 /// Cause: silence that is counted while the one who listens sleeps.
 #[gtest]
 fn a_leader_that_has_slept_tells_nothing() {
-    let mut unheard = Unheard::default();
+    let mut unheard = SilenceDetector::default();
     let _ = look(&mut unheard, 1_000, 2_000, &[LONG]);
     expect_that!(look(&mut unheard, 6_000, 6_300, &[Some(2_000)]), is_empty());
 }
@@ -102,17 +104,17 @@
 /// Cause: the new leader listens for as long as to any other agent, though it knows already.
 #[gtest]
 fn a_leader_that_was_given_up_is_told_of_at_once() {
-    let mut unheard = Unheard::default();
-    let given_up = Heard {
+    let mut unheard = SilenceDetector::default();
+    let given_up = LastContact {
         machine: machine(0),
         heard_at: Some(BootMs(1_000)),
-        given_up_at: Some(BootMs(1_100)),
+        replaced_at: Some(BootMs(1_100)),
     };
-    let told = unheard.look(BootMs(1_120), &[given_up]);
-    expect_that!(told, elements_are![eq(&Hearing { machine: machine(0), is_heard: false })]);
-    let woken = Heard { heard_at: Some(BootMs(5_000)), ..given_up };
-    let told = unheard.look(BootMs(5_010), &[woken]);
-    expect_that!(told, elements_are![eq(&Hearing { machine: machine(0), is_heard: true })]);
+    let told = unheard.update(BootMs(1_120), &[given_up]);
+    expect_that!(told, elements_are![eq(&Reachability { machine: machine(0), is_heard: false })]);
+    let woken = LastContact { heard_at: Some(BootMs(5_000)), ..given_up };
+    let told = unheard.update(BootMs(5_010), &[woken]);
+    expect_that!(told, elements_are![eq(&Reachability { machine: machine(0), is_heard: true })]);
 }
 
 struct Group {
@@ -152,7 +154,7 @@
     for group in GROUPS {
         let agent = |index: &usize| SocketAddr::from((machine(*index), 7_340));
         let ranks = (0..).zip(group.ranks.iter().map(agent)).collect();
-        let machines = machines_to_hear(&ranks, group.given_up.map(machine), machine(OWN));
+        let machines = machines_to_monitor(&ranks, group.given_up.map(machine), machine(OWN));
         let expected: Vec<IpAddr> = group.heard.iter().copied().map(machine).collect();
         expect_that!(machines.into_iter().collect::<Vec<_>>(), eq(&expected), "{}", group.name);
     }
--- a/crates/core/tests/support/rank_status.rs
+++ b/crates/core/tests/support/rank_status.rs
@@ -18,7 +18,7 @@
         highest_fence: 0,
         witness: None,
         pace_permille: 1_000,
-        is_from_afar: false,
+        is_read_remotely: false,
         counts: CountsSample::default(),
         experts: None,
     }
--- a/crates/direct/src/agent/afar.rs
+++ b/crates/direct/src/agent/afar.rs
@@ -11,7 +11,7 @@
 use super::rank::RankEngine;
 use crate::decision_log::DecisionLog;
 use hickorycross_core::map_change::{
-    Ended, OrderEnd, OrderKind, OrderedBeside, RankOrder, Witness,
+    ArmAttempt, OrderKind, OrderOutcome, OrderResult, RankOrder, Witness,
 };
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -41,7 +41,7 @@
 ///
 /// Where it was not, the leader hears that the map is lacking, and tells it whole.
 fn whole(member: &Member, order: RankOrder) -> RankOrder {
-    match member.known_maps.borrow_mut().whole(&order.kind) {
+    match member.known_maps.borrow_mut().resolve(&order.kind) {
         Ok(kind) => RankOrder { kind, ..order },
         Err(error) => {
             let line = DecisionLog::fields("order").with("kind", order.kind.as_str());
@@ -90,18 +90,18 @@
     let Some(target) = engine_beside(member, from) else { return };
     let OrderKind::Arm { step, .. } = order.kind else { return };
     let fence = order.fence;
-    let armed = Witness { fence, rank, ordered: Some(OrderedBeside { step, is_armed: true }) };
+    let armed = Witness { fence, rank, ordered: Some(ArmAttempt { step, is_armed: true }) };
     let ended = if member.witness.get() == Some(armed) {
-        Some(Ended { end: OrderEnd::Done, sends: 0 })
+        Some(OrderResult { end: OrderOutcome::Done, sends: 0 })
     } else {
-        let ordered = Some(OrderedBeside { step, is_armed: false });
+        let ordered = Some(ArmAttempt { step, is_armed: false });
         member.witness.set(Some(Witness { ordered, ..armed }));
         let is_current = is_current(member, &order);
         execute_afar(&*member.engine, &*target, &order, &is_current, &member.log).await
     };
     let Some(ended) = ended else { return };
     // Another leader may have asked meanwhile, and disarm that rank after its answer.
-    if ended.end == OrderEnd::Done && fence >= member.highest_fence.get() {
+    if ended.end == OrderOutcome::Done && fence >= member.highest_fence.get() {
         member.witness.set(Some(armed));
     }
     member.send(from, &Datagram::End { rank, number, fence, ended }).await;
@@ -123,7 +123,7 @@
     member: &Rc<Member>,
     rank: u16,
     number: u64,
-    giving: impl Future<Output = Option<Ended>> + 'static,
+    giving: impl Future<Output = Option<OrderResult>> + 'static,
 ) {
     if !member.under_way.0.borrow_mut().insert((rank, number)) {
         return;
@@ -133,7 +133,7 @@
         let ended = giving.await;
         member.under_way.0.borrow_mut().swap_remove(&(rank, number));
         if let (Some(ended), Some(leader)) = (ended, member.leader.borrow_mut().as_mut()) {
-            leader.on_ended(rank, number, ended);
+            leader.on_order_result(rank, number, ended);
             member.news.notify_one();
         }
     });
--- a/crates/direct/src/agent/collect.rs
+++ b/crates/direct/src/agent/collect.rs
@@ -4,7 +4,7 @@
 use super::member::Member;
 use super::status::status;
 use crate::clock::boot_now;
-use hickorycross_core::map_change::{Collection, RankStatus};
+use hickorycross_core::map_change::{RankStatus, StatusCollection};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
     collecting.number.set(number);
     collecting.leader.set(Some(leader));
     *collecting.open.borrow_mut() =
-        Some(Collection::new(boot_now(), section, others.len() + usize::from(is_of_group)));
+        Some(StatusCollection::new(boot_now(), section, others.len() + usize::from(is_of_group)));
     tokio::task::spawn_local(close_late(Rc::clone(member), number));
     let (known_map, wants_counts) = (poll.known_map, poll.wants_counts);
     let part = Datagram::PollPart(poll);
@@ -53,7 +53,7 @@
     let is_complete = {
         let mut open = member.collecting.open.borrow_mut();
         // An agent that is always slow would never be heard by the leader if this were dropped.
-        let collection = open.get_or_insert_with(|| Collection::new(boot_now(), 0, 1));
+        let collection = open.get_or_insert_with(|| StatusCollection::new(boot_now(), 0, 1));
         collection.add(agent, status);
         collection.is_complete()
     };
--- a/crates/direct/src/agent/datagram.rs
+++ b/crates/direct/src/agent/datagram.rs
@@ -2,7 +2,7 @@
 //!
 //! Datagrams need no connection that could go silent; what is lost is asked for again.
 
-use hickorycross_core::map_change::{Collected, Ended, RankOrder, RankStatus};
+use hickorycross_core::map_change::{CollectedStatuses, OrderResult, RankOrder, RankStatus};
 use miniz_oxide::deflate::compress_to_vec;
 use miniz_oxide::inflate::{DecompressError, decompress_to_vec_with_limit};
 use serde::{Deserialize, Serialize};
@@ -98,7 +98,7 @@
     /// An agent's answer to that.
     Part(RankStatus),
     /// What an agent has collected.
-    Collected(Collected),
+    Collected(CollectedStatuses),
     /// An agent's answer to a poll.
     Status(RankStatus),
     /// The leader gives an order.
@@ -144,7 +144,7 @@
         /// The order's fence; numbers begin anew with each leader.
         fence: u64,
         /// What became of it.
-        ended: Ended,
+        ended: OrderResult,
     },
 }
 
--- a/crates/direct/src/agent/execute.rs
+++ b/crates/direct/src/agent/execute.rs
@@ -4,7 +4,7 @@
 use crate::decision_log::DecisionLog;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
-use hickorycross_core::map_change::{Ended, EngineOrder, OrderEnd, OrderKind, RankOrder};
+use hickorycross_core::map_change::{EngineOrder, OrderKind, OrderOutcome, OrderResult, RankOrder};
 use hickorycross_core::placement::ExpertMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,17 +43,17 @@
     show_pause_ms: u64,
     is_current: &dyn Fn() -> bool,
     log: &DecisionLog,
-) -> Option<Ended> {
+) -> Option<OrderResult> {
     let is_void = matches!(order.kind, OrderKind::Void { .. });
     let mut sends = 0;
     for send in 1..=MOST_SENDS {
         let report = match begin(engine, order, send, is_current, log).await {
             Begin::Go(report) => report,
             Begin::Unread => continue,
-            Begin::End(end) => return Some(Ended { end, sends }),
+            Begin::End(end) => return Some(OrderResult { end, sends }),
         };
         if is_spared(&report, order) {
-            return Some(Ended { end: OrderEnd::Done, sends });
+            return Some(OrderResult { end: OrderOutcome::Done, sends });
         }
         let is_ahead = matches!(order.kind, OrderKind::HoldAhead { .. });
         let meant = match order.kind {
@@ -70,42 +70,45 @@
         let pace = Copies { pause_ms: AGAIN_BESIDE_MS, most };
         let Some(given) = EngineOrder::of(order, armed) else {
             note(log, order, send, "lacks-map");
-            return Some(Ended { end: OrderEnd::LacksMap, sends });
+            return Some(OrderResult { end: OrderOutcome::LacksMap, sends });
         };
         let answer = first_answer(engine, &given, pace, &mut sends).await;
-        let ended = |end| Some(Ended { end, sends });
+        let ended = |end| Some(OrderResult { end, sends });
         match answer {
             // The copies take time; that they are complete is read from the statuses.
             Ok(OrderReply::Accepted) if copies(&order.kind) && !is_void => {
                 note(log, order, send, "done");
-                return ended(OrderEnd::Done);
+                return ended(OrderOutcome::Done);
             }
             Ok(OrderReply::Accepted) if matches!(order.kind, OrderKind::Fence { .. }) => {
-                let end =
-                    if is_held(engine, order).await { OrderEnd::Done } else { OrderEnd::Refused };
-                note(log, order, send, if end == OrderEnd::Done { "done" } else { "refused" });
+                let end = if is_held(engine, order).await {
+                    OrderOutcome::Done
+                } else {
+                    OrderOutcome::Refused
+                };
+                note(log, order, send, if end == OrderOutcome::Done { "done" } else { "refused" });
                 return ended(end);
             }
             Ok(OrderReply::Accepted) => {
                 if comes_to_show(engine, order, show_pause_ms).await {
                     note(log, order, send, "done");
-                    return ended(OrderEnd::Done);
+                    return ended(OrderOutcome::Done);
                 }
             }
             Ok(OrderReply::Fenced) => {
                 note(log, order, send, "fenced");
-                return ended(OrderEnd::Fenced);
+                return ended(OrderOutcome::Fenced);
             }
             // The pass began meanwhile; a later one is to be held.
             Ok(OrderReply::Conflict) if is_ahead => note(log, order, send, "conflict"),
             Ok(OrderReply::Conflict | OrderReply::Unusable(_)) => {
                 // An earlier copy of the order may have been carried out meanwhile.
                 let end = if comes_to_show(engine, order, show_pause_ms).await {
-                    OrderEnd::Done
+                    OrderOutcome::Done
                 } else {
-                    OrderEnd::Refused
+                    OrderOutcome::Refused
                 };
-                note(log, order, send, if end == OrderEnd::Done { "done" } else { "refused" });
+                note(log, order, send, if end == OrderOutcome::Done { "done" } else { "refused" });
                 return ended(end);
             }
             Err(error) => note_again(log, order, send, &error),
@@ -124,7 +127,7 @@
     order: &RankOrder,
     is_current: &dyn Fn() -> bool,
     log: &DecisionLog,
-) -> Option<Ended> {
+) -> Option<OrderResult> {
     let is_ahead = matches!(order.kind, OrderKind::HoldAhead { .. });
     let mut sends = 0;
     let next = RankOrder { kind: OrderKind::HoldAhead { steps: 1 }, ..*order };
@@ -133,24 +136,24 @@
         let report = match begin(own, order, send, is_current, log).await {
             Begin::Go(report) => report,
             Begin::Unread => continue,
-            Begin::End(end) => return Some(Ended { end, sends }),
+            Begin::End(end) => return Some(OrderResult { end, sends }),
         };
         let meant = meant_afar(if is_standing { &next } else { order }, &report);
         let pace = Copies { pause_ms: AGAIN_AFAR_MS, most: MOST_COPIES };
         let Some(given) = EngineOrder::of(meant.as_ref().unwrap_or(order), None) else {
             note(log, order, send, "lacks-map");
-            return Some(Ended { end: OrderEnd::LacksMap, sends });
+            return Some(OrderResult { end: OrderOutcome::LacksMap, sends });
         };
         let answer = first_answer(target, &given, pace, &mut sends).await;
-        let ended = |end| Some(Ended { end, sends });
+        let ended = |end| Some(OrderResult { end, sends });
         match answer {
             Ok(OrderReply::Accepted) => {
                 note(log, order, send, "done");
-                return ended(OrderEnd::Done);
+                return ended(OrderOutcome::Done);
             }
             Ok(OrderReply::Fenced) => {
                 note(log, order, send, "fenced");
-                return ended(OrderEnd::Fenced);
+                return ended(OrderOutcome::Fenced);
             }
             // The pass began meanwhile, or an earlier copy of the order, whose answer was lost, holds
             // another one. The group may stand before that one: asked for a later one only, the rank
@@ -161,7 +164,7 @@
             }
             Ok(OrderReply::Conflict | OrderReply::Unusable(_)) => {
                 note(log, order, send, "refused");
-                return ended(OrderEnd::Refused);
+                return ended(OrderOutcome::Refused);
             }
             Err(error) => note_again(log, order, send, &error),
         }
@@ -176,7 +179,7 @@
     /// The rank could not be read.
     Unread,
     /// The order is not to be given any more.
-    End(OrderEnd),
+    End(OrderOutcome),
 }
 
 /// Reads a rank of the group, and looks whether the order is still meant.
@@ -192,7 +195,7 @@
 ) -> Begin {
     if !is_current() {
         note(log, order, send, "other-leader");
-        return Begin::End(OrderEnd::Fenced);
+        return Begin::End(OrderOutcome::Fenced);
     }
     let report = match engine.report().await {
         Ok(report) => report,
@@ -204,7 +207,7 @@
     };
     if report.seat.as_ref().is_none_or(|seat| seat.epoch != order.epoch) {
         note(log, order, send, "other-epoch");
-        return Begin::End(OrderEnd::Refused);
+        return Begin::End(OrderOutcome::Refused);
     }
     Begin::Go(report)
 }
--- a/crates/direct/src/agent/fleet.rs
+++ b/crates/direct/src/agent/fleet.rs
@@ -68,7 +68,7 @@
 
     fn take_backends(&self, mut listed: Vec<BackendServer>) {
         listed.retain(|server| server.service == self.service);
-        self.roster.borrow_mut().take(boot_now(), &listed);
+        self.roster.borrow_mut().update(boot_now(), &listed);
     }
 
     /// Says how many machines the agent needs to know; none if it does not lead.
@@ -77,7 +77,7 @@
     }
 
     fn pause_ms(&self) -> u64 {
-        let known = self.roster.borrow().listed();
+        let known = self.roster.borrow().listed_count();
         if self.dimensions().is_none() || known == 0 {
             FIRST_PAUSE_MS
         } else if known < self.needed.get() {
--- a/crates/direct/src/agent/hear.rs
+++ b/crates/direct/src/agent/hear.rs
@@ -9,7 +9,7 @@
 use super::{afar, relay, watch};
 use crate::clock::boot_now;
 use crate::decision_log::DecisionLog;
-use hickorycross_core::map_change::{Collected, RankStatus};
+use hickorycross_core::map_change::{CollectedStatuses, RankStatus};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -58,12 +58,12 @@
             collect::begin(&member, from, section, poll, &others, is_of_group).await;
         }
         Datagram::Part(status) => collect::take_part(&member, from, status).await,
-        Datagram::Collected(Collected { section, statuses, counts }) => {
+        Datagram::Collected(CollectedStatuses { section, statuses, counts }) => {
             for (agent, status) in statuses {
                 take_status(&member, agent, status);
             }
             if let Some(leader) = member.leader.borrow_mut().as_mut() {
-                leader.on_collected(boot_now(), section, &counts);
+                leader.on_section_counts(boot_now(), section, &counts);
             }
         }
         Datagram::Status(status) => take_status(&member, from, status),
@@ -84,7 +84,7 @@
             if let Some(leader) = member.leader.borrow_mut().as_mut()
                 && fence <= leader.fence()
             {
-                leader.on_ended(rank, number, ended);
+                leader.on_order_result(rank, number, ended);
                 member.news.notify_one();
             }
         }
--- a/crates/direct/src/agent/lead.rs
+++ b/crates/direct/src/agent/lead.rs
@@ -11,7 +11,7 @@
 use crate::decision_log::DecisionLog;
 use hickorycross_core::direct::BootMs;
 use hickorycross_core::map_change::{
-    Asked, Leader, LeaderAction, LeaderNote, Polls, Sections, UnevenNote,
+    Leader, LeaderAction, LeaderNote, PollSchedule, SectionPoll, Sections, UnevenNote,
 };
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
 
 /// Leads whenever no leader is heard, for ever.
 pub(crate) async fn lead(member: Rc<Member>) {
-    let mut polls = Polls::default();
+    let mut polls = PollSchedule::default();
     let mut poll_watchers_at = BootMs(0);
     let mut looked_at = boot_now();
     let mut was_held = false;
@@ -72,7 +72,7 @@
                 continue;
             };
             let mut actions = leader.decide(now, &dimensions);
-            actions.extend(leader.due(boot_now()));
+            actions.extend(leader.due_orders(boot_now()));
             let (fence, known_map) = (leader.fence(), leader.known_map());
             let group = leader.group().to_owned();
             watchers.set(leader.watchers(), leader.witness_rank());
@@ -89,7 +89,7 @@
             (actions, poll, is_busy, is_held)
         };
         if is_held && !was_held {
-            polls.hurry();
+            polls.poll_all_next();
         }
         was_held = is_held;
         let sections = Sections::of(&machines, counts_per_rank);
@@ -109,9 +109,9 @@
     }
 }
 
-async fn ask(member: &Member, asked: Asked, poll: &Poll) {
+async fn ask(member: &Member, asked: SectionPoll, poll: &Poll) {
     let at = |machine| SocketAddr::new(machine, member.port);
-    let Asked { section, collector, others } = asked;
+    let SectionPoll { section, collector, others } = asked;
     let poll = poll.clone();
     let datagram = if others.is_empty() {
         Datagram::Poll(poll)
@@ -184,7 +184,7 @@
     member.highest_fence.set(fence);
     let salt = rand::rng().random::<u64>();
     let leader = Leader::new(&seat.group, seat.rank, fence, salt);
-    let leader = if instead_of.is_some() { leader.after_a_watched_one(boot_now()) } else { leader };
+    let leader = if instead_of.is_some() { leader.with_possible_hold(boot_now()) } else { leader };
     let leader = if member.heeds_fences { leader } else { leader.without_fences() };
     *member.leader.borrow_mut() = Some(leader);
     let line = DecisionLog::fields("leader").with("fence", fence).with("rank", seat.rank);
@@ -197,11 +197,13 @@
     for action in actions {
         match action {
             LeaderAction::Note(note) => note_decision(member, &note),
-            LeaderAction::Send { rank, giver, number, order, .. } if giver == rank => {
+            LeaderAction::Send { rank, delivered_by, number, order, .. }
+                if delivered_by == rank =>
+            {
                 relays.give(member, rank, number, order).await;
             }
-            LeaderAction::Send { rank, giver, number, order, .. } => {
-                give(member, rank, giver, number, order).await;
+            LeaderAction::Send { rank, delivered_by, number, order, .. } => {
+                give(member, rank, delivered_by, number, order).await;
             }
         }
     }
--- a/crates/direct/src/agent/member.rs
+++ b/crates/direct/src/agent/member.rs
@@ -10,7 +10,7 @@
 use crate::clock::boot_now;
 use crate::decision_log::DecisionLog;
 use hickorycross_core::direct::BootMs;
-use hickorycross_core::map_change::{Ended, HoldClock, KnownMaps, Leader, Witness};
+use hickorycross_core::map_change::{HoldClock, KnownMaps, Leader, OrderResult, Witness};
 use indexmap::IndexMap;
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, SocketAddr};
@@ -40,7 +40,7 @@
     /// Maps that were told of, for orders that tell changes.
     pub(super) known_maps: RefCell<KnownMaps>,
     /// Orders under way or ended, by fence and number.
-    pub(super) orders: RefCell<IndexMap<(u64, u64), Option<Ended>>>,
+    pub(super) orders: RefCell<IndexMap<(u64, u64), Option<OrderResult>>>,
     pub(super) own_rank: Cell<Option<u16>>,
     /// How many ranks the own group has, as of when this agent began to lead.
     pub(super) ranks_of_group: Cell<usize>,
--- a/crates/direct/src/agent/relay.rs
+++ b/crates/direct/src/agent/relay.rs
@@ -31,7 +31,7 @@
     pub(super) fn take_from(actions: &mut Vec<LeaderAction>) -> Self {
         let mut relays = Self::default();
         actions.retain(|action| match action {
-            LeaderAction::Send { rank, via: Some(via), number, order, .. } => {
+            LeaderAction::Send { rank, relayed_by: Some(via), number, order, .. } => {
                 let passed = Passed { rank: *rank, number: *number, order: order.clone() };
                 relays.by_relay.entry(*via).or_default().push(passed);
                 false
--- a/crates/direct/src/agent/silent.rs
+++ b/crates/direct/src/agent/silent.rs
@@ -8,7 +8,7 @@
 use super::rank::RankEngine;
 use crate::clock::boot_now;
 use hickorycross_core::direct::BootMs;
-use hickorycross_core::map_change::Heard;
+use hickorycross_core::map_change::LastContact;
 use indexmap::IndexMap;
 use std::cell::{Cell, RefCell};
 use std::net::IpAddr;
@@ -43,10 +43,10 @@
     }
 
     /// When the agent of a machine was heard.
-    pub(super) fn of(&self, machine: IpAddr) -> Heard {
+    pub(super) fn of(&self, machine: IpAddr) -> LastContact {
         let heard_at = self.heard_at.borrow().get(&machine).copied();
         let given_up = self.given_up.get().filter(|(given_up, _)| *given_up == machine);
-        Heard { machine, heard_at, given_up_at: given_up.map(|(_, at)| at) }
+        LastContact { machine, heard_at, replaced_at: given_up.map(|(_, at)| at) }
     }
 
     /// The client of a rank whose agent is silent.
--- a/crates/direct/src/agent/stand_in.rs
+++ b/crates/direct/src/agent/stand_in.rs
@@ -25,7 +25,7 @@
         let (silent, is_held, silent_ms) = match member.leader.borrow().as_ref() {
             Some(leader) => {
                 let is_held = leader.is_held();
-                let silent_ms = if is_held { leader.fresh_ms() } else { SILENT_MS };
+                let silent_ms = if is_held { leader.max_silence_ms() } else { SILENT_MS };
                 (leader.silent_ranks(now, silent_ms), is_held, silent_ms)
             }
             None => (Vec::new(), false, SILENT_MS),
@@ -58,7 +58,7 @@
         }
     };
     let Some(told) = status_of(report) else { return };
-    let status = RankStatus { is_from_afar: true, ..told };
+    let status = RankStatus { is_read_remotely: true, ..told };
     let is_ours = |leader: &Leader| leader.group() == status.group;
     if !member.leader.borrow().as_ref().is_some_and(is_ours) {
         return;
--- a/crates/direct/src/agent/state.rs
+++ b/crates/direct/src/agent/state.rs
@@ -1,7 +1,7 @@
 //! What an agent remembers between messages, apart from what it does with it.
 
 use hickorycross_core::direct::BootMs;
-use hickorycross_core::map_change::Collection;
+use hickorycross_core::map_change::StatusCollection;
 use indexmap::IndexSet;
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, SocketAddr};
@@ -24,7 +24,7 @@
 /// The collection under way.
 #[derive(Default)]
 pub(super) struct Collecting {
-    pub(super) open: RefCell<Option<Collection>>,
+    pub(super) open: RefCell<Option<StatusCollection>>,
     /// Tells collections apart, so that one is not closed by the wait for another.
     pub(super) number: Cell<u64>,
     /// Who asked last.
--- a/crates/direct/src/agent/status.rs
+++ b/crates/direct/src/agent/status.rs
@@ -69,7 +69,7 @@
         highest_fence: 0,
         witness: None,
         pace_permille: report.pace_permille,
-        is_from_afar: false,
+        is_read_remotely: false,
         counts: CountsSample::default(),
         experts: None,
     })
--- a/crates/direct/src/agent/take_order.rs
+++ b/crates/direct/src/agent/take_order.rs
@@ -6,7 +6,7 @@
 use super::member::Member;
 use super::status::status;
 use crate::decision_log::DecisionLog;
-use hickorycross_core::map_change::{Ended, OrderEnd, OrderKind, RankOrder, UnknownMap};
+use hickorycross_core::map_change::{OrderKind, OrderOutcome, OrderResult, RankOrder, UnknownMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -22,7 +22,7 @@
 ) {
     let fence = order.fence;
     if fence < member.highest_fence.get() {
-        let ended = Ended { end: OrderEnd::Fenced, sends: 0 };
+        let ended = OrderResult { end: OrderOutcome::Fenced, sends: 0 };
         let rank = member.own_rank.get().unwrap_or_default();
         member.send(from, &Datagram::End { rank, number, fence, ended }).await;
         return;
@@ -35,7 +35,7 @@
         Some(None) => return,
         Some(Some(ended)) => Some(ended),
         None => {
-            let kind = member.known_maps.borrow_mut().whole(&order.kind);
+            let kind = member.known_maps.borrow_mut().resolve(&order.kind);
             let order = match kind {
                 Ok(kind) => RankOrder { kind, ..order },
                 Err(error) => {
@@ -76,11 +76,11 @@
     let line = DecisionLog::fields("order").with("kind", "prepare-change").with("fence", fence);
     member.log.note(line.with("error", error).with("outcome", "lacks-map"));
     let rank = member.own_rank.get().unwrap_or_default();
-    let ended = Ended { end: OrderEnd::LacksMap, sends: 0 };
+    let ended = OrderResult { end: OrderOutcome::LacksMap, sends: 0 };
     member.send(leader, &Datagram::End { rank, number, fence, ended }).await;
 }
 
-fn remember(member: &Member, key: (u64, u64), ended: Option<Ended>) {
+fn remember(member: &Member, key: (u64, u64), ended: Option<OrderResult>) {
     let mut orders = member.orders.borrow_mut();
     orders.insert(key, ended);
     while orders.len() > MOST_KEPT_ENDS {
--- a/crates/direct/src/agent/tell.rs
+++ b/crates/direct/src/agent/tell.rs
@@ -2,14 +2,14 @@
 //!
 //! - That the rank beside this agent is slow. A group advances as slowly as its slowest rank's own work;
 //!   entries that send nothing new there shorten every pass.
-//! - While this agent leads, that another one is not heard. See [`Unheard`].
+//! - While this agent leads, that another one is not heard. See [`SilenceDetector`].
 
 use super::member::Member;
 use crate::clock::boot_now;
 use crate::decision_log::DecisionLog;
 use crate::exchange::{self, BackendWord, Question, Said};
 use crate::peer_call;
-use hickorycross_core::map_change::{Hearing, Unheard, machines_to_hear};
+use hickorycross_core::map_change::{Reachability, SilenceDetector, machines_to_monitor};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -49,7 +49,7 @@
 /// While this agent leads, looks for ever at which others it hears.
 pub(crate) async fn follow_hearing(member: Rc<Member>) {
     let client = peer_call::client();
-    let mut unheard = Unheard::default();
+    let mut unheard = SilenceDetector::default();
     loop {
         tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
         if member.leader.borrow().is_none() {
@@ -57,10 +57,10 @@
             continue;
         }
         let given_up = member.silent.given_up_machine();
-        let others = machines_to_hear(&member.ranks.borrow(), given_up, member.machine);
+        let others = machines_to_monitor(&member.ranks.borrow(), given_up, member.machine);
         let others: Vec<_> = others.into_iter().map(|it| member.silent.of(it)).collect();
         let addresses = member.fleet.addresses();
-        for Hearing { machine, is_heard } in unheard.look(boot_now(), &others) {
+        for Reachability { machine, is_heard } in unheard.update(boot_now(), &others) {
             let line = DecisionLog::fields("hearing").with("machine", machine);
             member.log.note(line.with("outcome", if is_heard { "heard" } else { "unheard" }));
             for address in addresses.iter().filter(|address| address.ip() == machine) {
