--- a/crates/core/src/map_change/change.rs
+++ b/crates/core/src/map_change/change.rs
@@ -1,4 +1,4 @@
-//! The steps of a change, and of its undoing.
+//! Advances a change through its phases.
 
 use super::leader::{Leader, LeaderAction};
 use super::order::{OrderKind, OrderOutcome};
@@ -8,42 +8,46 @@
 use std::cmp::Reverse;
 use std::sync::Arc;
 
-/// Time for the copies of a change: a rank's share of copies takes about 0.1 s each.
+/// Timeout for the copies of a change. A rank takes about 0.1 s for each.
 const PREPARE_MS: u64 = 5_000;
 
-/// Time for all ranks to be armed, after which the change is undone. The group may stand still
-/// meanwhile; callers leave a stream after 2 s of silence.
+/// Timeout for arming all ranks, after which the change is undone. The group may be stalled
+/// meanwhile, and callers abandon a stream after 2 s of silence.
 const ARM_MS: u64 = 1_200;
 
-/// The same while orders get lost, of which each rank may need several in a row.
+/// Expected time for arming all ranks while orders get lost, when a rank may need several sends in
+/// a row.
 const LOSSY_ARM_MS: u64 = 180;
 
-/// Most passes after the one that runs that a held one is: a change waits for as long.
-const MOST_STEPS_AHEAD: u64 = 5;
+/// Largest distance from the running pass to the held one. The change waits for that many passes.
+const MAX_STEPS_AHEAD: u64 = 5;
 
-/// Time for all ranks to answer before they are armed: a round of polls and one that is lost.
-const ROLL_CALL_MS: u64 = 150;
+/// Time for all ranks to answer a poll before they are armed: one round of polls and another one in
+/// case the first is lost.
+const ALL_ANSWER_MS: u64 = 150;
 
-/// Pass from which on there is no pass between the order to hold and the held one: half as long again as
-/// arming all ranks takes, and about what callers were promised.
+/// Pass duration from which the very next pass is held, with no pass in between: one and a half
+/// times the duration of arming all ranks, and about the pass duration that callers are promised.
 const LONG_PASS_MS: u64 = 110;
 
-/// Experts of a map that a link takes in a millisecond: at 1.3 bytes each, deflated, half of the
-/// smallest link in use (8 Mbit/s). A link that is full loses datagrams, also those that say who
-/// leads.
+/// Experts of a map that a link carries per millisecond. At 1.3 bytes each, compressed, they take
+/// half of the smallest link in use (8 Mbit/s). A full link loses datagrams, also the heartbeats of
+/// the leader.
 const MAP_EXPERTS_PER_MS: usize = 400;
 
-/// Distance between the names of two maps; lower digits tell leaders apart.
+/// Distance between the versions of two consecutive maps. The lower digits identify the leader.
 ///
-/// Two leaders may name a map at the same time. Ranks compare only names, so two maps with one name
-/// could be armed together; one would notice nothing but passes with mixed maps.
+/// Two leaders may choose a version at the same time. Ranks compare only versions, so two maps with
+/// the same version could be armed together, and passes would run with mixed maps without any
+/// error.
 pub(super) const VERSION_STEP: u64 = 1 << 20;
 
-/// Distance between the fences of two phases of one leader; lower digits tell leaders apart.
+/// Distance between two consecutive fencing numbers of one leader. The lower digits identify the
+/// leader.
 pub(crate) const FENCE_STEP: u64 = 1 << 10;
 
 impl Leader {
-    pub(super) fn begin(
+    pub(super) fn begin_change(
         &mut self,
         now: BootMs,
         epoch: u64,
@@ -51,26 +55,26 @@
         bottleneck: Option<(u64, u64)>,
         actions: &mut Vec<LeaderAction>,
     ) {
-        // Orders of an undoing may still be carried out late: a rank that has seen the fence of this
-        // change refuses them, and none is disarmed behind the leader's back.
+        // Late orders of an earlier undo could disarm a rank. Ranks that have seen the fencing
+        // number of this change refuse them.
         self.fence += FENCE_STEP;
         let version = self.next_version();
         let experts: usize =
             map.layers.iter().flat_map(|it| &it.experts_of_rank).map(Vec::len).sum();
-        let ranks = self.by_copies(&map);
+        let ranks = self.ranks_by_copies(&map);
         let kind = self.prepare_order(version, Arc::new(map));
         let mut orders = self.orders_to(&ranks, epoch, &kind);
-        orders.spread(now, (experts / MAP_EXPERTS_PER_MS) as u64);
+        orders.schedule(now, (experts / MAP_EXPERTS_PER_MS) as u64);
         let (holder, give_up_at) = (self.choose_holder(), now.after(PREPARE_MS));
         self.phase = Phase::Preparing(Preparing { version, holder, orders, give_up_at });
         self.note("uneven", version, epoch, bottleneck, actions);
     }
 
-    /// The order to prepare a map, told as a change where all agents were told of the map in use.
+    /// Returns the order to prepare a map, as a change if all agents have received the map in use.
     fn prepare_order(&mut self, version: u64, map: Arc<ExpertMap>) -> OrderKind {
-        let told = self.told.replace((version, Arc::clone(&map)));
+        let sent = self.last_sent_map.replace((version, Arc::clone(&map)));
         let in_use = self.known_map();
-        match told.filter(|(told, _)| Some(*told) == in_use) {
+        match sent.filter(|(sent, _)| Some(*sent) == in_use) {
             Some((base, before)) => {
                 let change = Arc::new(MapChange::between(&before, &map));
                 OrderKind::PrepareChange { version, base, change }
@@ -79,26 +83,28 @@
         }
     }
 
-    /// A name for a map that is higher than those of all maps that ranks tell of, or were told of.
+    /// Returns a version that is higher than those of all maps that ranks report or that this
+    /// leader has sent.
     ///
-    /// Ranks do not tell of a map that they still copy, and refuse another one of its name.
+    /// Ranks do not report a map that they are still copying, and refuse another map with the same
+    /// version.
     pub(super) fn next_version(&self) -> u64 {
         let newest = self.statuses().flat_map(|status| {
             let armed = status.armed.map_or(0, |armed| armed.version);
             [status.map, status.prepared.unwrap_or(0), armed]
         });
-        let told = self.told.as_ref().map(|(version, _)| *version);
-        let newest = newest.chain(told).max().unwrap_or(0);
+        let sent = self.last_sent_map.as_ref().map(|(version, _)| *version);
+        let newest = newest.chain(sent).max().unwrap_or(0);
         (newest / VERSION_STEP + 1) * VERSION_STEP + self.salt
     }
 
-    /// Ranks, those with most to copy first.
+    /// Returns the ranks in descending order of the number of experts that they have to copy.
     ///
-    /// A map goes out to one rank after the other, for 0.4 s in a group of 63. A rank with five
-    /// copies that hears of it last would let all others wait for half a second more.
-    fn by_copies(&self, map: &ExpertMap) -> Vec<u16> {
-        let mut ranks: Vec<u16> = self.seats.keys().copied().collect();
-        let Some((_, present)) = &self.map else { return ranks };
+    /// Sending a map to the ranks one after the other takes 0.4 s in a group of 63. If a rank with
+    /// five copies came last, all others would wait for another half second.
+    fn ranks_by_copies(&self, map: &ExpertMap) -> Vec<u16> {
+        let mut ranks: Vec<u16> = self.rank_entries.keys().copied().collect();
+        let Some((_, present)) = &self.current_map else { return ranks };
         let mut copies = vec![0_u32; present.ranks()];
         for load in present.loads_towards(map) {
             copies[usize::from(load.rank)] += 1;
@@ -107,8 +113,8 @@
         ranks
     }
 
-    /// Waits until all ranks have the map and can be asked, and has a pass held.
-    pub(super) fn prepare(
+    /// Waits until all ranks have copied the map and can be polled, then orders a pass to be held.
+    pub(super) fn advance_preparing(
         &mut self,
         now: BootMs,
         epoch: u64,
@@ -119,76 +125,80 @@
         let orders = &preparing.orders;
         let is_ready = self.statuses().all(|status| status.prepared == Some(version));
         let is_held = self.statuses().any(|status| status.held_step.is_some());
-        if orders.any(OrderOutcome::Refused) || is_held || now >= give_up_at {
-            // Nothing is armed or held: the copies are simply not used.
+        if orders.has_outcome(OrderOutcome::Refused) || is_held || now >= give_up_at {
+            // No rank is armed and no pass is held, so the copies can be left unused.
             self.note("not-prepared", version, epoch, None, actions);
             return;
         }
         if !orders.all_done() || !is_ready || !self.may_hold(holder, now) {
-            if !self.is_fresh(holder, now) {
+            if !self.is_responsive(holder, now) {
                 preparing.holder = self.choose_holder();
             }
             self.phase = Phase::Preparing(preparing);
             return;
         }
         let order = self.order(epoch, OrderKind::HoldAhead { steps: self.steps_ahead() });
-        let mut orders = Orders::of(epoch);
+        let mut orders = Orders::for_epoch(epoch);
         orders.add_delivered_by(self.own_rank, holder, self.take_number(), order);
-        self.phase = Phase::Holding(Holding { version, holder, orders, asked_at: now });
+        self.phase = Phase::Holding(Holding { version, holder, orders, polled_since: now });
         self.note("prepared", version, epoch, None, actions);
     }
 
-    /// Whether a pass may be held by `holder`: its agent knows for whom, and all ranks can be asked.
+    /// Returns whether a pass may be held by `holder`: its agent knows which leader it holds for,
+    /// and all ranks respond.
     ///
-    /// A rank whose machine froze a moment ago would leave in doubt whether it is armed, and the group would
-    /// stand until it wakes.
+    /// If the instance of a rank has just frozen, it remains unknown whether the rank is armed, and
+    /// the group would stall until the instance resumes.
     fn may_hold(&self, holder: u16, now: BootMs) -> bool {
         let (fence, rank) = (self.fence, self.own_rank);
         let witness = self.status_of(holder).and_then(|status| status.witness);
         let is_known = witness.is_some_and(|it| it.fence == fence && it.rank == rank);
         let is_alone = holder == self.own_rank;
-        (is_known || is_alone) && self.seats.keys().all(|rank| self.is_fresh(*rank, now))
+        (is_known || is_alone)
+            && self.rank_entries.keys().all(|rank| self.is_responsive(*rank, now))
     }
 
-    /// How many passes after the one that runs the held one is.
+    /// Returns the distance from the running pass to the pass to hold.
     ///
-    /// All ranks are armed some 70 ms after the order to hold. If the very next pass is held, the group
-    /// stands for the rest of that time: 0.7 s over 21 changes of a group of 72 ranks. With a pass between,
-    /// it is let go before it would begin. That pass is still by the old map, so where passes are longer
-    /// than arming takes, the next one is held.
+    /// All ranks are armed some 70 ms after the order to hold. If the very next pass is held, the
+    /// group is stalled for the rest of that time: 0.7 s over 21 changes of a group of 72 ranks.
+    /// With one pass in between, the held pass is released before it would begin. That pass still
+    /// runs with the old map, so the very next pass is held where passes take longer than arming.
     ///
-    /// Where orders get lost, arming takes several tries, and the pass is held that much later.
+    /// If orders get lost, arming takes several sends, and a later pass is held.
     fn steps_ahead(&self) -> u8 {
         let Some(pass_ms) = self.pass_clock.pass_ms() else { return 2 };
-        if self.order_sends.are_lost() {
+        if self.order_sends.is_lossy() {
             let passes = LOSSY_ARM_MS.div_ceil(pass_ms.max(1)) + 1;
-            return passes.min(MOST_STEPS_AHEAD) as u8;
+            return passes.min(MAX_STEPS_AHEAD) as u8;
         }
         if pass_ms >= LONG_PASS_MS { 1 } else { 2 }
     }
 
-    /// The rank that is to hold a pass: the next one after the leader's own.
+    /// Returns the rank that is to hold a pass: the next responsive one after the leader's own
+    /// rank.
     ///
-    /// A machine that freezes takes its rank along: the rank makes passes but takes no orders. If the
-    /// leader held its own pass and froze, nobody could let it go; one would see a group that stands
-    /// for as long as the freeze. The rank beside another agent can be let go by that agent.
+    /// The rank of a frozen instance still runs passes but takes no orders. If the leader held the
+    /// pass at its own rank and froze, nobody could release it, and the group would stall until the
+    /// instance resumes. At another rank, the agent of that rank can release it.
     fn choose_holder(&self) -> u16 {
-        self.others_heard().next().unwrap_or(self.own_rank)
+        self.other_responsive_ranks().next().unwrap_or(self.own_rank)
     }
 
     /// Waits until the pass is held and all ranks have answered since.
     ///
-    /// An order to arm that a frozen machine does not answer leaves in doubt whether its rank is armed, and
-    /// nobody can let the pass go before it wakes. So none is given while any rank is silent.
-    pub(super) fn hold(
+    /// If a frozen instance does not answer an order to arm, it remains unknown whether its rank is
+    /// armed, and nobody can release the pass before the instance resumes. No rank is therefore
+    /// armed while any rank is silent.
+    pub(super) fn advance_holding(
         &mut self,
         now: BootMs,
         epoch: u64,
         holding: Holding,
         actions: &mut Vec<LeaderAction>,
     ) {
-        let Holding { version, holder, asked_at, .. } = holding;
-        if holding.orders.any(OrderOutcome::Refused) {
+        let Holding { version, holder, polled_since, .. } = holding;
+        if holding.orders.has_outcome(OrderOutcome::Refused) {
             self.note("not-held", version, epoch, None, actions);
             return;
         }
@@ -197,25 +207,27 @@
             self.phase = Phase::Holding(holding);
             return;
         };
-        if self.all_answered(asked_at) {
-            let but = [self.own_rank];
-            let orders = self.orders_but(&but, epoch, &OrderKind::Arm { version, step });
+        if self.all_answered(polled_since) {
+            let except = [self.own_rank];
+            let orders = self.orders_except(&except, epoch, &OrderKind::Arm { version, step });
             let (own_armed_by, give_up_at) = (None, now.after(ARM_MS));
             self.phase =
                 Phase::Arming(Arming { version, holder, step, own_armed_by, orders, give_up_at });
             self.note("held", version, epoch, None, actions);
-        } else if now >= asked_at.after(ROLL_CALL_MS) {
-            self.let_go(epoch, vec![(holder, step)], version, "rank-silent", actions);
+        } else if now >= polled_since.after(ALL_ANSWER_MS) {
+            self.release_unchanged(epoch, vec![(holder, step)], version, "rank-silent", actions);
         } else {
             self.phase = Phase::Holding(holding);
         }
     }
 
-    /// Waits until all ranks are armed, the leader's own after all others and by the holder's agent.
+    /// Waits until all ranks are armed. The leader's own rank comes last and is armed by the agent
+    /// of the holder.
     ///
-    /// Whoever ends the change while the leader's machine is frozen cannot ask the rank there. If nobody
-    /// but the holder's agent arms that rank, that agent knows without asking whether it is armed.
-    pub(super) fn arm(
+    /// A successor that ends the change while the instance of the leader is frozen cannot query the
+    /// rank there. Since only the agent of the holder arms that rank, this agent knows whether it
+    /// is armed.
+    pub(super) fn advance_arming(
         &mut self,
         now: BootMs,
         epoch: u64,
@@ -223,15 +235,17 @@
         actions: &mut Vec<LeaderAction>,
     ) {
         let Arming { version, holder, step, own_armed_by, .. } = arming;
-        // Once the own rank may be armed a change is not undone: the holder's agent may say that it is.
+        // A change is not undone once the own rank may be armed, because the agent of the holder
+        // may already report it as armed.
         let is_late = now >= arming.give_up_at && own_armed_by.is_none();
-        if arming.orders.any(OrderOutcome::Refused) || is_late {
+        if arming.orders.has_outcome(OrderOutcome::Refused) || is_late {
             let held = vec![(holder, step)];
             self.begin_undo(epoch, held, Vec::new(), "not-armed", actions);
         } else if !arming.orders.all_done() {
-            // An agent that died knows nothing any more that would be worth the wait.
-            if own_armed_by == Some(holder) && !self.is_fresh(holder, now) {
-                self.arm_own(epoch, &mut arming, self.own_rank);
+            // An agent that has failed has lost its witness record, so there is no reason to wait
+            // for it.
+            if own_armed_by == Some(holder) && !self.is_responsive(holder, now) {
+                self.arm_own_rank(epoch, &mut arming, self.own_rank);
             }
             self.phase = Phase::Arming(arming);
         } else if own_armed_by.is_some() {
@@ -239,21 +253,21 @@
             self.phase = Phase::Releasing { version, holder, orders };
             self.note("armed", version, epoch, None, actions);
         } else {
-            self.arm_own(epoch, &mut arming, holder);
+            self.arm_own_rank(epoch, &mut arming, holder);
             self.phase = Phase::Arming(arming);
         }
     }
 
-    /// Has the leader's own rank armed by the agent of the rank `delivered_by`.
-    fn arm_own(&mut self, epoch: u64, arming: &mut Arming, delivered_by: u16) {
+    /// Orders the agent of the rank `delivered_by` to arm the leader's own rank.
+    fn arm_own_rank(&mut self, epoch: u64, arming: &mut Arming, delivered_by: u16) {
         let (version, step) = (arming.version, arming.step);
         let order = self.order(epoch, OrderKind::Arm { version, step });
-        arming.orders = Orders::of(epoch);
+        arming.orders = Orders::for_epoch(epoch);
         arming.orders.add_delivered_by(delivered_by, self.own_rank, self.take_number(), order);
         arming.own_armed_by = Some(delivered_by);
     }
 
-    pub(super) fn release(
+    pub(super) fn advance_releasing(
         &mut self,
         now: BootMs,
         version: u64,
@@ -263,18 +277,19 @@
         actions: &mut Vec<LeaderAction>,
     ) {
         let has_switched = self.statuses().all(|status| status.map == version);
-        if orders.open() > 0 {
+        if orders.unanswered() > 0 {
             self.phase = Phase::Releasing { version, holder, orders };
         } else if has_switched {
-            // Without this, all ranks would have to tell what they hold before the next change.
-            self.map = self.told.clone().filter(|(told, _)| *told == version);
-            self.even_clock.note_even(now);
+            // This saves all ranks from reporting their experts before the next change.
+            self.current_map = self.last_sent_map.clone().filter(|(sent, _)| *sent == version);
+            self.imbalance_clock.note_even(now);
             self.note("switched", version, epoch, None, actions);
         } else {
-            // The rank that holds may have refused, and a hold of an earlier leader may have been carried out
-            // late. All ranks are armed alike and refuse its other orders, so that its pass may begin as well.
-            let held = self.held();
-            let orders = self.orders_to_go(epoch, &held);
+            // The holder may have refused, or a late order of an earlier leader may hold another
+            // pass. All ranks are armed for the same switch and refuse other orders of that leader,
+            // so any held pass may begin.
+            let held = self.held_passes();
+            let orders = self.release_orders(epoch, &held);
             self.phase = Phase::Releasing { version, holder, orders };
         }
     }
--- a/crates/core/src/map_change/engine_order.rs
+++ b/crates/core/src/map_change/engine_order.rs
@@ -1,61 +1,63 @@
-//! Orders as a rank's engine takes them.
+//! Orders in the form in which the engine of a rank takes them.
 
 use super::order::{OrderKind, RankOrder};
 use crate::placement::ExpertMap;
 use std::sync::Arc;
 
-/// An order that names everything that its engine must know.
+/// An order that is complete for the engine.
 ///
-/// What agents tell each other may be shorter: a map as a change of another one, or a pass by its distance.
-/// Such an order cannot be made into one of these before it is whole.
+/// Agents may send each other shorter orders, with a map as a change of another one or a pass by
+/// its distance from the running one. Such an order must be completed before it can be converted
+/// into this type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineOrder {
-    /// The group's epoch for which the order is meant.
+    /// Epoch of the group for which the order is valid.
     pub epoch: u64,
-    /// A rank that has seen a higher number refuses the order.
+    /// Fencing number of the leader. A rank that has seen a higher one refuses the order.
     pub fence: u64,
-    /// What to do.
+    /// The operation.
     pub kind: EngineOrderKind,
 }
 
-/// What an engine is to do.
+/// The operation of an engine order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineOrderKind {
-    /// Copy what is new in a map, and keep it ready.
+    /// Copies the experts that are new in a map and keeps the map ready to switch to.
     Prepare {
-        /// Names the map; higher than all before.
+        /// Version of the map; higher than that of any earlier map.
         version: u64,
         /// The map.
         map: Arc<ExpertMap>,
     },
-    /// Switch to a prepared map as a pass begins.
+    /// Switches to a prepared map as a pass begins.
     Arm {
-        /// The map.
+        /// Version of the map.
         version: u64,
-        /// The pass.
+        /// Number of the pass.
         step: u64,
     },
-    /// Forget whatever is armed.
+    /// Cancels a pending switch.
     Disarm {
-        /// The map that is armed.
+        /// Version of the armed map.
         version: u64,
     },
-    /// Heed no older fence from now on.
+    /// Records the fencing number, so that the rank refuses older ones.
     Fence,
-    /// Do not begin a pass before it is let go.
+    /// Holds a pass until the rank is told to go.
     Hold {
-        /// The pass.
+        /// Number of the pass.
         step: u64,
     },
-    /// Begin a held pass.
+    /// Releases a held pass.
     Go {
-        /// The pass.
+        /// Number of the pass.
         step: u64,
     },
 }
 
 impl EngineOrder {
-    /// The order as an engine takes it, on which `armed` is armed; nothing while it lacks its map or its pass.
+    /// Converts an order for an engine on which the map `armed` is armed. Returns nothing if the
+    /// order lacks its complete map or the number of its pass.
     #[must_use]
     pub fn of(order: &RankOrder, armed: Option<u64>) -> Option<Self> {
         let kind = match &order.kind {
--- a/crates/core/src/map_change/hold_clock.rs
+++ b/crates/core/src/map_change/hold_clock.rs
@@ -1,28 +1,28 @@
-//! How long a rank holds passes, as its agent sees it.
+//! Measures how long a rank holds passes, as its agent observes it.
 
 use crate::direct::BootMs;
 
-/// What an agent's look at its rank shows of a hold.
+/// A change of the hold that an agent observes at its rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldEvent {
-    /// The rank holds the pass `step` since this look.
+    /// The rank has begun to hold a pass.
     Begun {
-        /// The pass.
+        /// Number of the pass.
         step: u64,
     },
-    /// It has let it go.
+    /// The rank has released the pass.
     Ended {
-        /// The pass.
+        /// Number of the pass.
         step: u64,
-        /// Time for which it was held.
+        /// Time for which the pass was held.
         held_ms: u64,
-        /// Part of that in which no earlier pass was left to begin: the last of them, and after its end the
-        /// time for which the group stood.
+        /// Part of that time in which no earlier pass was left to begin: the duration of the last
+        /// earlier pass, followed by the time for which the group was stalled.
         last_pass_ms: u64,
     },
 }
 
-/// The pass that a rank holds.
+/// Tracks the pass that a rank holds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HoldClock {
     held: Option<Held>,
@@ -36,7 +36,8 @@
 }
 
 impl HoldClock {
-    /// Notes what the rank says: the last pass that was begun, and the one that it holds.
+    /// Records the last pass that has begun and the held pass. Returns the change since the
+    /// previous call, if any.
     pub fn note(&mut self, now: BootMs, step: u64, held_step: Option<u64>) -> Option<HoldEvent> {
         if let Some(held) = self.held.filter(|held| Some(held.step) != held_step) {
             self.held = None;
--- a/crates/core/src/map_change/known_maps.rs
+++ b/crates/core/src/map_change/known_maps.rs
@@ -1,31 +1,31 @@
-//! Maps that an agent was told of, so that the next one can be told as a change.
+//! Maps that an agent has received, so that the next one can be sent as a change.
 
 use super::order::OrderKind;
 use crate::placement::ExpertMap;
 use indexmap::IndexMap;
 use std::sync::Arc;
 
-/// Maps that are kept: the one in use, one that is prepared, and two that were abandoned.
-const MOST_KEPT: usize = 4;
+/// Number of maps to keep: the one in use, a prepared one and two abandoned ones.
+const MAX_MAPS: usize = 4;
 
-/// The map that a change is about was never told to this agent.
+/// The agent lacks the base map of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("map {0} is not known")]
 pub struct UnknownMap(pub u64);
 
-/// Maps by version, those told of last at the end.
+/// Received maps by version, the most recently received last.
 #[derive(Clone, Debug, Default)]
 pub struct KnownMaps {
     maps: IndexMap<u64, Arc<ExpertMap>>,
 }
 
 impl KnownMaps {
-    /// The order with its whole map, which is kept for later changes.
+    /// Returns the order with its complete map, which is kept as a base for later changes.
     ///
     /// # Errors
     ///
-    /// When the order tells a change of a map that is not known: an agent that has just started was not
-    /// told of the map in use.
+    /// Fails if the order changes a map that the agent has not received, for example because it was
+    /// restarted since.
     pub fn resolve(&mut self, kind: &OrderKind) -> Result<OrderKind, UnknownMap> {
         match kind {
             OrderKind::PrepareChange { version, base, change } => {
@@ -45,7 +45,7 @@
     fn keep(&mut self, version: u64, map: &Arc<ExpertMap>) {
         self.maps.shift_remove(&version);
         self.maps.insert(version, Arc::clone(map));
-        while self.maps.len() > MOST_KEPT {
+        while self.maps.len() > MAX_MAPS {
             self.maps.shift_remove_index(0);
         }
     }
--- a/crates/core/src/map_change/leader.rs
+++ b/crates/core/src/map_change/leader.rs
@@ -1,4 +1,4 @@
-//! The agent that decides for its group.
+//! State machine of the agent that leads a group.
 
 use super::change::VERSION_STEP;
 use super::demand::DemandEstimator;
@@ -7,49 +7,51 @@
 use super::pass_clock::PassClock;
 use super::phase::{Orders, Phase};
 use super::status::{CountsSample, RankStatus};
-use super::uneven::EvenClock;
+use super::uneven::ImbalanceClock;
 use crate::direct::{BootMs, GroupDimensions};
 use crate::placement::ExpertMap;
 use indexmap::IndexMap;
 use std::iter;
 use std::sync::Arc;
 
-/// Age from which a rank's status is not decided upon.
-const STATUS_AGE_MS: u64 = 1_000;
+/// Age above which a status is not used for decisions.
+const MAX_STATUS_AGE_MS: u64 = 1_000;
 
-/// Pause after which an order without an answer is sent again. The group may stand meanwhile; an agent whose
-/// word alone was lost answers again at once.
-const AGAIN_MS: u64 = 40;
+/// Interval after which an unanswered order is sent again. The group may be stalled meanwhile. An
+/// agent whose answer alone was lost repeats it at once.
+const RESEND_MS: u64 = 40;
 
-/// The same for an order with a map. The agent answers within a few milliseconds; on a link that is
-/// full of maps, for a quarter of a second in a group of 63 ranks, the answer may come later.
-const MAP_AGAIN_MS: u64 = 300;
+/// Interval after which an unanswered order with a map is sent again. An agent answers within a few
+/// milliseconds, but the answer may be delayed while the link is full of maps, which takes a
+/// quarter of a second in a group of 63 ranks.
+const RESEND_MAP_MS: u64 = 300;
 
-/// Time between two statuses of a rank during a change, in a small group.
-const SHORT_ROUND_MS: u64 = 60;
+/// Interval between two statuses of a rank during a change in a small group.
+const POLL_ROUND_MS: u64 = 60;
 
-/// Time for an answer to a poll, on a machine that is busy.
-const ANSWER_MS: u64 = 40;
+/// Time for the answer to a poll on a busy instance.
+const POLL_ANSWER_MS: u64 = 40;
 
-/// Time after which a leader that took over has read of every rank whether it holds a pass: what ranks say of
-/// themselves to other machines is some hundred milliseconds old.
-const FIND_HELD_MS: u64 = 1_000;
+/// Time after which a leader that took over has learned of every rank whether it holds a pass.
+/// Statuses that are read over the network are some hundred milliseconds old.
+const FIND_HOLD_MS: u64 = 1_000;
 
-/// Agents that watch a leader beside that of the rank that holds.
+/// Number of agents that watch the leader in addition to the agent of the holder.
 const FURTHER_WATCHERS: usize = 2;
 
-/// What a leader wants done.
+/// An action that the leader requests from its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaderAction {
-    /// Have an order given to a rank.
+    /// Send an order to a rank.
     Send {
-        /// The rank.
+        /// The rank that carries out the order.
         rank: u16,
-        /// The rank whose agent gives the order: usually the same.
+        /// The rank whose agent delivers the order to the engine, usually the same rank.
         delivered_by: u16,
-        /// The rank whose agent passes the order on, which has one of the same kind in the same tick.
+        /// The rank whose agent relays the order. The same tick contains an order of the same kind
+        /// for that rank.
         relayed_by: Option<u16>,
-        /// Names the order; the agent answers with it.
+        /// Number of the order, which the agent repeats in its answer.
         number: u64,
         /// The order.
         order: RankOrder,
@@ -58,35 +60,35 @@
     Note(LeaderNote),
 }
 
-/// A decision of a leader, for the log.
+/// Log record of a decision of the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaderNote {
-    /// The phase that begins.
+    /// Name of the phase that begins.
     pub phase: &'static str,
-    /// Why.
+    /// Reason for the decision.
     pub cause: &'static str,
-    /// The map concerned.
+    /// Version of the map concerned.
     pub version: u64,
-    /// The group's epoch.
+    /// Epoch of the group.
     pub epoch: u64,
-    /// The fence in use.
+    /// Fencing number in use.
     pub fence: u64,
-    /// The newest pass known.
+    /// Number of the newest known pass.
     pub step: u64,
-    /// Bottleneck before and after the change, in thousandths of an even load.
+    /// Bottleneck load before and after the change, in thousandths of a balanced load.
     pub bottleneck_permille: Option<(u64, u64)>,
 }
 
-/// One rank as the leader knows it.
+/// The most recent status of a rank.
 #[derive(Clone, Debug)]
-pub(super) struct Seat {
+pub(super) struct RankEntry {
     pub(super) status: RankStatus,
     heard_at: BootMs,
-    /// Time between the last two of its statuses.
-    gap_ms: u64,
+    /// Interval between its last two statuses.
+    status_interval_ms: u64,
 }
 
-/// The state of the agent that leads.
+/// State of the agent that leads a group.
 #[derive(Clone, Debug)]
 pub struct Leader {
     group: String,
@@ -94,31 +96,31 @@
     pub(super) fence: u64,
     pub(super) salt: u64,
     next_number: u64,
-    pub(super) seats: IndexMap<u16, Seat>,
+    pub(super) rank_entries: IndexMap<u16, RankEntry>,
     pub(super) demand: DemandEstimator,
-    /// Experts of a layer, by the operators' word.
+    /// Number of experts in a layer, as configured by the operators.
     pub(super) experts_per_layer: u16,
-    /// When the first sign of a shift of demand was seen that is not decided upon yet.
+    /// When the first sign of a shift of demand was seen, if no decision has been made since.
     pub(super) shift_seen_at: Option<BootMs>,
-    pub(super) map: Option<(u64, Arc<ExpertMap>)>,
-    /// The newest map that all ranks were told of.
-    pub(super) told: Option<(u64, Arc<ExpertMap>)>,
+    pub(super) current_map: Option<(u64, Arc<ExpertMap>)>,
+    /// The newest map that was sent to all ranks, with its version.
+    pub(super) last_sent_map: Option<(u64, Arc<ExpertMap>)>,
     pub(super) phase: Phase,
     pub(super) pass_clock: PassClock,
     pub(super) decide_at: BootMs,
-    pub(super) even_clock: EvenClock,
-    /// Whether ranks refuse orders with an old fence.
-    pub(super) heeds_fences: bool,
-    /// How many times orders were given lately, against how many of them.
+    pub(super) imbalance_clock: ImbalanceClock,
+    /// Whether ranks refuse orders with an outdated fencing number.
+    pub(super) enforces_fences: bool,
+    /// Average number of sends per order.
     pub(super) order_sends: OrderSends,
-    /// Until when a rank whose agent was not heard yet may be found to hold a pass.
+    /// Until when a rank that has not reported yet may turn out to hold a pass.
     may_be_held_until: BootMs,
     is_deposed: bool,
 }
 
 impl Leader {
-    /// Begins to lead `group` from `own_rank`. `fence` must be higher than those of earlier leaders, `salt`
-    /// must differ from theirs.
+    /// Creates a leader of `group` on the agent of `own_rank`. `fence` must be higher than the
+    /// fencing numbers of earlier leaders, and `salt` must differ from theirs.
     #[must_use]
     pub fn new(group: &str, own_rank: u16, fence: u64, salt: u64) -> Self {
         Self {
@@ -127,108 +129,114 @@
             fence,
             salt: salt % VERSION_STEP,
             next_number: 1,
-            seats: IndexMap::new(),
+            rank_entries: IndexMap::new(),
             demand: DemandEstimator::default(),
             experts_per_layer: 0,
             shift_seen_at: None,
-            map: None,
-            told: None,
+            current_map: None,
+            last_sent_map: None,
             phase: Phase::Steady,
             pass_clock: PassClock::default(),
             decide_at: BootMs(0),
-            even_clock: EvenClock::default(),
-            heeds_fences: true,
+            imbalance_clock: ImbalanceClock::default(),
+            enforces_fences: true,
             order_sends: OrderSends::default(),
             may_be_held_until: BootMs(0),
             is_deposed: false,
         }
     }
 
-    /// Says that a rank that is not heard yet may hold a pass for the leader before.
+    /// Assumes for some time that a rank that has not reported yet may hold a pass for the previous
+    /// leader.
     #[must_use]
     pub fn with_possible_hold(self, now: BootMs) -> Self {
-        Self { may_be_held_until: now.after(FIND_HELD_MS), ..self }
+        Self { may_be_held_until: now.after(FIND_HOLD_MS), ..self }
     }
 
-    /// Says that ranks carry out orders with an old fence as well.
+    /// Declares that ranks also carry out orders with an outdated fencing number.
     #[must_use]
     pub fn without_fences(self) -> Self {
-        Self { heeds_fences: false, ..self }
+        Self { enforces_fences: false, ..self }
     }
 
-    /// Ranks whose agents are to hear this leader often, and to take over if they do not, each with the number
-    /// of those that do so sooner. Only the agent of the rank that holds a pass, or is about to, has none.
+    /// Returns the ranks whose agents watch this leader and take over if it goes silent, each with
+    /// the number of agents that take over before it. That number is zero only for the rank that
+    /// holds a pass or is about to.
     #[must_use]
     pub fn watchers(&self) -> Vec<(u8, u16)> {
         let Some(holder) = self.phase.holder() else { return Vec::new() };
-        let others = self.others_heard().filter(|rank| *rank != holder).take(FURTHER_WATCHERS);
+        let others =
+            self.other_responsive_ranks().filter(|rank| *rank != holder).take(FURTHER_WATCHERS);
         let all = (0..).zip(iter::once(holder).chain(others));
         all.filter(|(_, rank)| *rank != self.own_rank).collect()
     }
 
-    /// The rank whose agent is to know that it alone orders the rank beside this leader to switch.
+    /// Returns the rank whose agent is the witness: only this agent arms the rank of this leader.
     #[must_use]
     pub fn witness_rank(&self) -> Option<u16> {
         let is_change = !matches!(self.phase, Phase::Undoing(_));
         self.phase.holder().filter(|_| is_change)
     }
 
-    /// Whether a pass is held, or may be by what is known. The link is for orders and their ends then.
+    /// Returns whether a pass is held or may be held. Meanwhile the link is reserved for orders and
+    /// their outcomes.
     #[must_use]
     pub fn is_held(&self) -> bool {
-        self.may_be_held_until > BootMs(0) || self.phase.is_held() || !self.held().is_empty()
+        self.may_be_held_until > BootMs(0) || self.phase.is_held() || !self.held_passes().is_empty()
     }
 
-    /// The fence in use, which also tells agents who leads.
+    /// Returns the fencing number in use, which also identifies the leader to the agents.
     #[must_use]
     pub const fn fence(&self) -> u64 {
         self.fence
     }
 
-    /// Whether another leader was found to have a higher fence.
+    /// Returns whether another leader with a higher fencing number was found.
     #[must_use]
     pub const fn is_deposed(&self) -> bool {
         self.is_deposed
     }
 
-    /// The map whose experts the leader knows, so that agents need not tell them.
+    /// Returns the version of the map that the leader knows completely, so that agents need not
+    /// send their experts.
     #[must_use]
     pub fn known_map(&self) -> Option<u64> {
-        self.map.as_ref().map(|(version, _)| *version)
+        self.current_map.as_ref().map(|(version, _)| *version)
     }
 
-    /// Ranks of the group that were not heard lately.
+    /// Returns the ranks of the group whose agents have been silent for longer than `silent_ms`.
     #[must_use]
     pub fn silent_ranks(&self, now: BootMs, silent_ms: u64) -> Vec<u16> {
-        let Some(own) = self.seats.get(&self.own_rank) else { return Vec::new() };
+        let Some(own) = self.rank_entries.get(&self.own_rank) else { return Vec::new() };
         let is_heard = |rank: &u16| {
-            let seat = self.seats.get(rank).filter(|seat| !seat.status.is_read_remotely);
-            seat.is_some_and(|seat| now.since(seat.heard_at) <= silent_ms)
+            let entry = self.rank_entries.get(rank).filter(|entry| !entry.status.is_read_remotely);
+            entry.is_some_and(|entry| now.since(entry.heard_at) <= silent_ms)
         };
         (0..own.status.ranks).filter(|rank| !is_heard(rank)).collect()
     }
 
-    /// Whether a change is under way, in which statuses should come often.
+    /// Returns whether a change is in progress, when statuses are needed more often.
     #[must_use]
     pub fn is_busy(&self) -> bool {
         self.is_changing() || self.is_held()
     }
 
-    /// Whether a change, or the end of one, is under way.
+    /// Returns whether a change, or the undo of one, is in progress.
     pub(super) const fn is_changing(&self) -> bool {
         !matches!(self.phase, Phase::Steady)
     }
 
-    /// The group that is led.
+    /// Returns the name of the group.
     #[must_use]
     pub fn group(&self) -> &str {
         &self.group
     }
 
-    /// Takes a rank's status.
+    /// Processes the status of a rank.
     ///
-    /// A service may have several groups whose ranks have the same numbers. Taking one group's word
-    /// for another's would order maps from ranks that never hear of each other.
+    /// A service may have several groups whose ranks have the same numbers. Statuses of another
+    /// group are ignored, because the map would otherwise be built from ranks that never receive
+    /// the orders of this leader.
     pub fn on_status(&mut self, now: BootMs, status: RankStatus, dimensions: &GroupDimensions) {
         if status.group != self.group {
             return;
@@ -240,69 +248,71 @@
         if status.highest_fence > self.fence {
             self.is_deposed = true;
         }
-        let before = self.seats.get(&status.rank);
-        let gap_ms = before.map_or(0, |seat| now.since(seat.heard_at));
-        let known = before.and_then(|seat| seat.status.experts.clone());
+        let before = self.rank_entries.get(&status.rank);
+        let status_interval_ms = before.map_or(0, |entry| now.since(entry.heard_at));
+        let known = before.and_then(|entry| entry.status.experts.clone());
         let mut status = status;
-        let same_map = before.is_some_and(|seat| seat.status.map == status.map);
+        let same_map = before.is_some_and(|entry| entry.status.map == status.map);
         if status.experts.is_none() && same_map {
             status.experts = known;
         }
-        self.seats.insert(status.rank, Seat { status, heard_at: now, gap_ms });
+        self.rank_entries
+            .insert(status.rank, RankEntry { status, heard_at: now, status_interval_ms });
     }
 
-    /// Takes the counts that another agent has summed over a section of the group.
+    /// Processes the counts that another agent has summed over a section of the group.
     pub fn on_section_counts(&mut self, now: BootMs, section: u16, counts: &CountsSample) {
         let experts = usize::from(self.experts_per_layer);
         self.demand.add(now, section, experts, counts);
     }
 
-    /// Takes the end of an order that an agent tells of.
+    /// Processes the result of an order that an agent reports.
     pub fn on_order_result(&mut self, rank: u16, number: u64, ended: OrderResult) {
-        // Others are given several times at once, whether they get lost or not.
+        // Other orders are sent several times at once, whether they get lost or not.
         if matches!(self.phase, Phase::Preparing(_)) {
             self.order_sends.note(ended.sends);
         }
         self.on_order_outcome(rank, number, ended.end);
     }
 
-    /// Takes the end of an order.
+    /// Processes the outcome of an order.
     pub fn on_order_outcome(&mut self, rank: u16, number: u64, end: OrderOutcome) {
         let Some(orders) = self.phase.orders() else { return };
         if end == OrderOutcome::LacksMap {
-            let Some((version, map)) = &self.told else { return };
+            let Some((version, map)) = &self.last_sent_map else { return };
             let whole = OrderKind::Prepare { version: *version, map: Arc::clone(map) };
             orders.replace(rank, number, whole);
-        } else if orders.end(rank, number, end) && end == OrderOutcome::Fenced {
+        } else if orders.set_outcome(rank, number, end) && end == OrderOutcome::Fenced {
             self.is_deposed = true;
         }
     }
 
-    /// Decides and gives what is due, where a decision takes no time. To be called often.
+    /// Decides what comes next and returns the resulting actions with all due orders. For callers
+    /// whose decisions take no time. To be called frequently.
     pub fn tick(&mut self, now: BootMs, dimensions: &GroupDimensions) -> Vec<LeaderAction> {
         let mut actions = self.decide(now, dimensions);
         actions.extend(self.due_orders(now));
         actions
     }
 
-    /// Decides what comes next.
+    /// Advances the state machine and returns the log records of its decisions.
     pub fn decide(&mut self, now: BootMs, dimensions: &GroupDimensions) -> Vec<LeaderAction> {
         let mut actions = Vec::new();
         self.advance(now, dimensions, &mut actions);
         actions
     }
 
-    /// Orders to be sent now. `now` is to be taken after a decision, which may have taken long.
+    /// Returns the orders to send now. `now` must be read after the decision, which may take long.
     ///
-    /// On a sixth of a core a decision took 0.2 s. Reckoned from before it, orders without an answer were
-    /// due again 0.1 s after they were first sent: 105 maps of 5 KB, which filled the leader's link for
-    /// 0.7 s, so that its members took it for gone.
+    /// A decision takes 0.2 s on a sixth of a core. With a time from before it, unanswered orders
+    /// would be due again 0.1 s after they were first sent. For 105 maps of 5 KB, that fills the
+    /// link of the leader for 0.7 s, and the group takes the leader for failed.
     pub fn due_orders(&mut self, now: BootMs) -> Vec<LeaderAction> {
-        let again_ms = match self.phase {
-            Phase::Preparing(_) => MAP_AGAIN_MS,
-            _ => AGAIN_MS,
+        let resend_ms = match self.phase {
+            Phase::Preparing(_) => RESEND_MAP_MS,
+            _ => RESEND_MS,
         };
-        self.phase.orders().map(|orders| orders.due(now, again_ms)).unwrap_or_default()
+        self.phase.orders().map(|orders| orders.due(now, resend_ms)).unwrap_or_default()
     }
 
     fn advance(
@@ -312,119 +322,124 @@
         actions: &mut Vec<LeaderAction>,
     ) {
         let Some(epoch) = self.epoch() else { return };
-        // A pass that is held waits for nobody who need not be asked.
+        // A held pass must not wait for ranks that are not needed for its release.
         match std::mem::replace(&mut self.phase, Phase::Steady) {
-            Phase::Holding(holding) => return self.hold(now, epoch, holding, actions),
-            Phase::Arming(arming) => return self.arm(now, epoch, arming, actions),
+            Phase::Holding(holding) => return self.advance_holding(now, epoch, holding, actions),
+            Phase::Arming(arming) => return self.advance_arming(now, epoch, arming, actions),
             Phase::Releasing { version, holder, orders } => {
-                return self.release(now, version, holder, orders, epoch, actions);
+                return self.advance_releasing(now, version, holder, orders, epoch, actions);
             }
-            Phase::Undoing(undoing) => return self.undo(epoch, undoing, actions),
+            Phase::Undoing(undoing) => return self.advance_undoing(epoch, undoing, actions),
             phase @ (Phase::Steady | Phase::Preparing(_)) => self.phase = phase,
         }
         if now >= self.may_be_held_until || self.all_answered(BootMs(0)) {
             self.may_be_held_until = BootMs(0);
         }
-        if !self.all_present(epoch, now) {
+        if !self.all_statuses_current(epoch, now) {
             if matches!(self.phase, Phase::Steady) {
-                self.settle(epoch, now, actions);
+                self.resolve_abandoned(epoch, now, actions);
             }
             return;
         }
         match std::mem::replace(&mut self.phase, Phase::Steady) {
-            Phase::Preparing(preparing) => self.prepare(now, epoch, preparing, actions),
-            _ => self.look(now, epoch, dimensions, actions),
+            Phase::Preparing(preparing) => self.advance_preparing(now, epoch, preparing, actions),
+            _ => self.consider_change(now, epoch, dimensions, actions),
         }
     }
 
-    /// The epoch by the own rank's word.
+    /// Returns the epoch that the own rank reports.
     ///
-    /// In a new epoch nothing is prepared, armed or held: a change of the old one is over.
+    /// In a new epoch no map is prepared, no rank is armed and no pass is held, so a change of the
+    /// previous epoch is over.
     fn epoch(&mut self) -> Option<u64> {
-        let epoch = self.seats.get(&self.own_rank)?.status.epoch;
-        self.seats.retain(|_, seat| seat.status.epoch >= epoch);
-        let is_over = matches!(self.phase.orders(), Some(orders) if !orders.is_of(epoch));
+        let epoch = self.rank_entries.get(&self.own_rank)?.status.epoch;
+        self.rank_entries.retain(|_, entry| entry.status.epoch >= epoch);
+        let is_over = matches!(self.phase.orders(), Some(orders) if !orders.is_for_epoch(epoch));
         if is_over {
             self.phase = Phase::Steady;
         }
         Some(epoch)
     }
 
-    /// Whether all ranks of the group were heard lately and agree on the epoch.
-    fn all_present(&self, epoch: u64, now: BootMs) -> bool {
-        let ranks = self.seats.get(&self.own_rank).map_or(0, |own| own.status.ranks);
-        ranks > 0 && (0..ranks).all(|rank| self.is_present(rank, epoch, now))
+    /// Returns whether all ranks of the group have a recent status of this epoch.
+    fn all_statuses_current(&self, epoch: u64, now: BootMs) -> bool {
+        let ranks = self.rank_entries.get(&self.own_rank).map_or(0, |own| own.status.ranks);
+        ranks > 0 && (0..ranks).all(|rank| self.has_current_status(rank, epoch, now))
     }
 
-    /// Whether a rank was heard lately, in `epoch`.
-    pub(super) fn is_present(&self, rank: u16, epoch: u64, now: BootMs) -> bool {
-        self.seats.get(&rank).is_some_and(|seat| {
-            seat.status.epoch == epoch && now.since(seat.heard_at) <= STATUS_AGE_MS
+    /// Returns whether a rank has a recent status of `epoch`.
+    pub(super) fn has_current_status(&self, rank: u16, epoch: u64, now: BootMs) -> bool {
+        self.rank_entries.get(&rank).is_some_and(|entry| {
+            entry.status.epoch == epoch && now.since(entry.heard_at) <= MAX_STATUS_AGE_MS
         })
     }
 
-    /// Age of a rank's last word.
+    /// Returns the age of a rank's last status.
     pub(super) fn age_ms(&self, rank: u16, now: BootMs) -> Option<u64> {
-        self.seats.get(&rank).map(|seat| now.since(seat.heard_at))
+        self.rank_entries.get(&rank).map(|entry| now.since(entry.heard_at))
     }
 
-    /// Whether an agent was heard a moment ago.
-    pub(super) fn is_fresh(&self, rank: u16, now: BootMs) -> bool {
-        let seat = self.seats.get(&rank).filter(|seat| !seat.status.is_read_remotely);
-        seat.is_some_and(|seat| now.since(seat.heard_at) <= self.max_silence_ms())
+    /// Returns whether the agent of a rank currently answers polls.
+    pub(super) fn is_responsive(&self, rank: u16, now: BootMs) -> bool {
+        let entry = self.rank_entries.get(&rank).filter(|entry| !entry.status.is_read_remotely);
+        entry.is_some_and(|entry| now.since(entry.heard_at) <= self.max_silence_ms())
     }
 
-    /// Whether all ranks of the group were heard since `asked_at`, by their own agents.
-    pub(super) fn all_answered(&self, asked_at: BootMs) -> bool {
+    /// Returns whether the agents of all ranks of the group have answered since `polled_since`.
+    pub(super) fn all_answered(&self, polled_since: BootMs) -> bool {
         let ranks = self.status_of(self.own_rank).map_or(0, |own| own.ranks);
-        let has_answered = |seat: &Seat| !seat.status.is_read_remotely && seat.heard_at >= asked_at;
-        (0..ranks).all(|rank| self.seats.get(&rank).is_some_and(has_answered))
+        let has_answered =
+            |entry: &RankEntry| !entry.status.is_read_remotely && entry.heard_at >= polled_since;
+        (0..ranks).all(|rank| self.rank_entries.get(&rank).is_some_and(has_answered))
     }
 
-    /// Silence of an agent that polls alone do not explain: two rounds of them are lost.
+    /// Returns the longest silence of an agent that is explained by the poll interval: two rounds
+    /// of polls and the time for an answer.
     #[must_use]
     pub fn max_silence_ms(&self) -> u64 {
-        let round_ms = self.seats.get(&self.own_rank).map_or(0, |own| own.gap_ms);
-        2 * round_ms.max(SHORT_ROUND_MS) + ANSWER_MS
+        let round_ms =
+            self.rank_entries.get(&self.own_rank).map_or(0, |own| own.status_interval_ms);
+        2 * round_ms.max(POLL_ROUND_MS) + POLL_ANSWER_MS
     }
 
-    /// Other ranks whose agents are heard, from the next one after the own on.
-    pub(super) fn others_heard(&self) -> impl Iterator<Item = u16> {
-        let ranks = self.seats.len().max(1);
+    /// Returns the other ranks whose agents respond, starting with the next one after the own rank.
+    pub(super) fn other_responsive_ranks(&self) -> impl Iterator<Item = u16> {
+        let ranks = self.rank_entries.len().max(1);
         let after = move |distance: usize| ((usize::from(self.own_rank) + distance) % ranks) as u16;
-        let is_heard =
-            |rank: &u16| self.seats.get(rank).is_some_and(|seat| !seat.status.is_read_remotely);
+        let is_heard = |rank: &u16| {
+            self.rank_entries.get(rank).is_some_and(|entry| !entry.status.is_read_remotely)
+        };
         (1..ranks).map(after).filter(is_heard)
     }
 
     pub(super) fn status_of(&self, rank: u16) -> Option<&RankStatus> {
-        self.seats.get(&rank).map(|seat| &seat.status)
+        self.rank_entries.get(&rank).map(|entry| &entry.status)
     }
 
-    /// Notes that a rank has let its pass go, which its last status does not tell yet.
-    pub(super) fn note_let_go(&mut self, rank: u16) {
-        if let Some(seat) = self.seats.get_mut(&rank) {
-            seat.status.held_step = None;
+    /// Clears the held pass of a rank that has released it, before its next status shows it.
+    pub(super) fn clear_held_step(&mut self, rank: u16) {
+        if let Some(entry) = self.rank_entries.get_mut(&rank) {
+            entry.status.held_step = None;
         }
     }
 
     pub(super) fn statuses(&self) -> impl Iterator<Item = &RankStatus> {
-        self.seats.values().map(|seat| &seat.status)
+        self.rank_entries.values().map(|entry| &entry.status)
     }
 
     fn newest_step(&self) -> u64 {
         self.statuses().map(|status| status.step).max().unwrap_or(0)
     }
 
-    /// Orders to all ranks but some.
-    pub(super) fn orders_but(&mut self, but: &[u16], epoch: u64, kind: &OrderKind) -> Orders {
+    /// Creates orders to all ranks except some.
+    pub(super) fn orders_except(&mut self, except: &[u16], epoch: u64, kind: &OrderKind) -> Orders {
         let ranks = self.status_of(self.own_rank).map_or(0, |own| own.ranks);
-        let ranks: Vec<u16> = (0..ranks).filter(|rank| !but.contains(rank)).collect();
+        let ranks: Vec<u16> = (0..ranks).filter(|rank| !except.contains(rank)).collect();
         self.orders_to(&ranks, epoch, kind)
     }
 
     pub(super) fn orders_to(&mut self, ranks: &[u16], epoch: u64, kind: &OrderKind) -> Orders {
-        let mut orders = Orders::of(epoch);
+        let mut orders = Orders::for_epoch(epoch);
         for rank in ranks {
             let order = self.order(epoch, kind.clone());
             orders.add(*rank, self.take_number(), order);
--- a/crates/core/src/map_change/link_pace.rs
+++ b/crates/core/src/map_change/link_pace.rs
@@ -1,39 +1,39 @@
-//! How fast long messages may follow each other on a small machine's link.
+//! Limits the rate of long messages on the link of a small instance.
 
 use crate::direct::BootMs;
 
-/// Bytes a millisecond that long messages take of a link: two thirds of the smallest in use, 6 Mbit/s. The
-/// rest is for signs of life, statuses and answers.
+/// Bytes per millisecond for long messages: two thirds of the smallest link in use, 6 Mbit/s. The
+/// rest is for heartbeats, statuses and answers.
 const BYTES_PER_MS: u64 = 500;
 
-/// Bytes that may be on their way together. A link holds some 45 KB back and loses what is over: of 11 maps
-/// of 5 KB sent at once two or three were lost at each agent that passed them on.
-const MOST_BACKLOG_BYTES: u64 = 24_000;
+/// Most bytes of long messages in flight. A link queues some 45 KB and drops the excess: of 11 maps
+/// of 5 KB sent at once, two or three were lost at each agent that relayed them.
+const MAX_BACKLOG_BYTES: u64 = 24_000;
 
-/// What a link still has to carry of the long messages that were sent.
+/// Estimated backlog of long messages on a link.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LinkPace {
     backlog_bytes: u64,
-    noted_at: BootMs,
+    updated_at: BootMs,
 }
 
 impl LinkPace {
-    /// Time until a message of `bytes` may be sent.
+    /// Returns the time until a message of `bytes` may be sent.
     #[must_use]
     pub fn wait_ms(&self, now: BootMs, bytes: u64) -> u64 {
         let backlog = self.backlog_bytes_at(now);
-        // A message that is longer than all that may be on its way goes alone.
-        let most = MOST_BACKLOG_BYTES.saturating_sub(bytes);
+        // A message above the limit is sent alone.
+        let most = MAX_BACKLOG_BYTES.saturating_sub(bytes);
         backlog.saturating_sub(most).div_ceil(BYTES_PER_MS)
     }
 
-    /// Notes that a message of `bytes` is sent.
+    /// Records that a message of `bytes` is sent.
     pub fn note_sent(&mut self, now: BootMs, bytes: u64) {
         self.backlog_bytes = self.backlog_bytes_at(now) + bytes;
-        self.noted_at = now;
+        self.updated_at = now;
     }
 
     fn backlog_bytes_at(&self, now: BootMs) -> u64 {
-        self.backlog_bytes.saturating_sub(now.since(self.noted_at) * BYTES_PER_MS)
+        self.backlog_bytes.saturating_sub(now.since(self.updated_at) * BYTES_PER_MS)
     }
 }
--- a/crates/core/src/map_change/mod.rs
+++ b/crates/core/src/map_change/mod.rs
@@ -1,33 +1,39 @@
-//! Changes the expert map of a group whose ranks take orders one by one and do not compare maps.
+//! Changes the expert map of a model group whose ranks accept orders individually and do not
+//! compare their maps with each other.
 //!
-//! An agent stands beside each rank. One agent leads; it polls the others, decides about changes
-//! and sends orders, which each agent carries out at its own rank. What must never happen is a
-//! pass in which two ranks have different maps. The leader therefore
+//! An agent runs on each rank's instance. One agent is the leader: it polls the others, decides
+//! when to change the map and sends orders, which each agent delivers to the engine of its own
+//! rank. All ranks must use the same map in every forward pass. The leader therefore changes a map
+//! in four phases:
 //!
-//! 1. lets all ranks *prepare* the new map, which changes nothing yet;
-//! 2. places a *hold* at a pass ahead, at a rank on another machine: the group does not begin that
-//!    pass before it is let go;
-//! 3. *arms* all ranks to switch as that pass begins, its own last and by the holder's agent;
-//! 4. lets the pass *go* when every rank has shown that it is armed.
+//! 1. *Prepare*: all ranks copy the experts that are new in the map. The map in use stays as it is.
+//! 2. *Hold*: a rank on another instance holds a pass that is still ahead. The group does not begin
+//!    that pass until the rank is told to go.
+//! 3. *Arm*: all ranks are told to switch to the new map as the held pass begins. The leader's own
+//!    rank is armed last, by the agent of the rank that holds.
+//! 4. *Go*: the held pass is released once every rank has confirmed that it is armed.
 //!
-//! If anything is missing, all ranks are disarmed before the pass goes. An order whose answer was
-//! lost may be carried out seconds later; a higher fencing number, shown to the rank, makes that
-//! impossible.
+//! If a phase fails, all ranks are disarmed before the pass is released. An order that was not
+//! answered may still be carried out seconds later. The leader shows each rank a higher fencing
+//! number, so that the rank refuses such a late order.
 //!
-//! A leader that dies leaves a held pass, never a mixed one. Some agents watch it and take over, that of
-//! the rank that holds first. It alone arms the rank beside the leader, so its [`Witness`] tells whoever
-//! leads next how the change ends, also while the machine that led before is frozen.
+//! If the leader fails, a pass stays held, but no pass runs with two maps. Some agents watch the
+//! leader and take over if it goes silent, first the agent of the rank that holds. Only that agent
+//! may arm the leader's own rank, so its [`Witness`] tells the next leader how the change has to
+//! end, even while the instance of the previous leader is frozen.
 //!
-//! - [`Leader`] is the state machine; [`RankStatus`] is what it hears, [`RankOrder`] what it sends.
-//! - [`EngineOrder`] is what a rank's engine is told at last.
-//! - [`Roster`] says which machines there are to ask.
-//! - [`PollSchedule`] says when a leader asks whom; a [`StatusCollection`] is what an agent hears for it.
-//! - [`LinkPace`] says how fast long messages may follow each other.
+//! - [`Leader`] is the state machine. It receives [`RankStatus`] and emits [`RankOrder`].
+//! - [`EngineOrder`] is an order in the form in which the engine of a rank takes it.
+//! - [`Roster`] lists the instances to poll.
+//! - [`PollSchedule`] decides when the leader polls which agents. A [`StatusCollection`] gathers
+//!   the statuses of a section of the group on one of its agents.
+//! - [`LinkPace`] limits the rate of long messages.
 //! - [`DemandEstimator`] estimates the load of each expert.
-//! - [`HoldClock`] says how long a rank held a pass.
-//! - [`UnevenNote`] says why a group that is uneven gets no other map.
-//! - [`SilenceDetector`] says which agents entries are to be told of, because nothing is heard of them.
+//! - [`HoldClock`] measures how long a rank holds a pass.
+//! - [`UnevenNote`] reports why a group with an uneven load keeps its map.
+//! - [`SilenceDetector`] decides which agents to report to the entries as silent.
 
+mod abandoned_change;
 mod change;
 mod decide;
 mod demand;
@@ -42,7 +48,6 @@
 mod phase;
 mod poll_schedule;
 mod roster;
-mod settle;
 mod silence_detector;
 mod status;
 mod status_collection;
--- a/crates/core/src/map_change/order.rs
+++ b/crates/core/src/map_change/order.rs
@@ -1,85 +1,88 @@
-//! Orders to ranks.
+//! Orders that a leader sends to ranks, and their outcomes.
 
 use crate::placement::{ExpertMap, MapChange};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// An order to one rank.
+/// An order of a leader to one rank.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankOrder {
-    /// The group's epoch for which the order is meant.
+    /// Epoch of the group for which the order is valid.
     pub epoch: u64,
-    /// A rank that has seen a higher number refuses the order.
+    /// Fencing number of the leader. A rank that has seen a higher one refuses the order.
     pub fence: u64,
-    /// What to do.
+    /// The operation.
     pub kind: OrderKind,
 }
 
-/// What a rank is to do.
+/// The operation of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderKind {
-    /// Copy what is new in a map, and keep it ready.
+    /// Copies the experts that are new in a map and keeps the map ready to switch to.
     Prepare {
-        /// Names the map; higher than all before.
+        /// Version of the map; higher than that of any earlier map.
         version: u64,
         /// The map.
         map: Arc<ExpertMap>,
     },
-    /// The same, for an agent that was told of the map `base` before.
+    /// Like `Prepare`, for an agent that has received the map `base` before.
     PrepareChange {
-        /// Names the map; higher than all before.
+        /// Version of the map; higher than that of any earlier map.
         version: u64,
-        /// The map that is changed.
+        /// Version of the map to which the change applies.
         base: u64,
-        /// What the map changes in it.
+        /// Difference between the base and the new map.
         change: Arc<MapChange>,
     },
-    /// Prepare what the rank holds already, so that no earlier map is prepared any more.
+    /// Prepares the map that the rank uses already, which supersedes any map prepared earlier.
     Void {
-        /// Names it; higher than all before.
+        /// Version under which the present map is prepared; higher than that of any earlier map.
         version: u64,
-        /// Experts of a layer.
+        /// Number of experts in a layer.
         experts_per_layer: u16,
     },
-    /// Switch to a prepared map as a pass begins.
+    /// Switches to a prepared map as a pass begins.
     Arm {
-        /// The map.
+        /// Version of the map.
         version: u64,
-        /// The pass.
+        /// Number of the pass.
         step: u64,
     },
-    /// Forget whatever is armed. Shows the fence to the rank also when nothing is.
+    /// Cancels a pending switch. The rank also records the fencing number when no switch is
+    /// pending.
     Disarm {
-        /// The map that is abandoned.
+        /// Version of the abandoned map.
         version: u64,
     },
-    /// Do not begin a pass soon after the one that runs; which it is shows in the rank's next status.
+    /// Holds a pass a few passes after the running one. The next status of the rank tells which
+    /// one.
     HoldAhead {
-        /// How many passes after the one that runs.
+        /// Distance from the running pass, in passes.
         steps: u8,
     },
-    /// Do not begin a pass before it is let go.
+    /// Holds a pass: the rank does not begin it until it is told to go.
     Hold {
-        /// The pass.
+        /// Number of the pass.
         step: u64,
     },
-    /// Heed no older fence from now on; refused if the rank does not hold the pass.
+    /// Records the fencing number, so that the rank refuses older ones. Refused if the rank does
+    /// not hold the pass.
     ///
-    /// It changes nothing else. A rank that were told to hold its pass once more instead would be held by
-    /// its own machine, and nobody could let it go while that is frozen.
+    /// The order changes nothing else. Holding the pass once more from another instance would make
+    /// that instance the holder, and nobody could release the pass while that instance is frozen.
     Fence {
-        /// The held pass.
+        /// Number of the held pass.
         step: u64,
     },
-    /// Begin a held pass.
+    /// Releases a held pass.
     Go {
-        /// The pass.
+        /// Number of the pass.
         step: u64,
     },
 }
 
 impl OrderKind {
-    /// The word for logs.
+    /// Returns the name of the order in logs.
     #[must_use]
     pub const fn as_str(&self) -> &'static str {
         match self {
@@ -96,24 +99,24 @@
     }
 }
 
-/// What became of an order, by the rank's own word.
+/// Outcome of an order, as the rank reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderOutcome {
-    /// It holds.
+    /// The rank is in the state that the order asks for.
     Done,
-    /// The rank refused it.
+    /// The rank refused the order.
     Refused,
-    /// The rank has seen a higher fence.
+    /// The rank or its agent has seen a higher fencing number.
     Fenced,
-    /// The agent was not told of the map that the order changes.
+    /// The agent lacks the map to which the change of the order applies.
     LacksMap,
 }
 
-/// The end of an order, as the agent that gave it tells the leader.
+/// Outcome of an order with its cost, as the agent that delivered it reports it to the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderResult {
-    /// What became of it.
+    /// The outcome.
     pub end: OrderOutcome,
-    /// How many times it was given.
+    /// How many times the order was sent to the rank.
     pub sends: u32,
 }
--- a/crates/core/src/map_change/order_sends.rs
+++ b/crates/core/src/map_change/order_sends.rs
@@ -1,12 +1,12 @@
-//! Whether ranks leave orders unanswered.
+//! Tracks whether orders to ranks get lost.
 
-/// Weight of the newest order in the running mean, for about the last ten.
+/// Weight of the newest order in the exponential moving average, which spans about ten orders.
 const NEWEST_WEIGHT: f64 = 0.1;
 
-/// Mean copies of an order from which on orders count as lost; one is enough where none is.
+/// Mean number of sends per order from which the link counts as lossy; without loss it is 1.
 const LOSSY_SENDS: f64 = 1.3;
 
-/// How many copies of an order ranks need lately.
+/// Moving average of the number of sends that an order needs.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OrderSends {
     mean: f64,
@@ -19,13 +19,13 @@
 }
 
 impl OrderSends {
-    /// Notes an order that was answered after `sends` copies.
+    /// Records an order that was answered after `sends` sends.
     pub(super) fn note(&mut self, sends: u32) {
         self.mean += (f64::from(sends) - self.mean) * NEWEST_WEIGHT;
     }
 
-    /// Whether orders get lost.
-    pub(super) fn are_lost(&self) -> bool {
+    /// Returns whether orders get lost.
+    pub(super) fn is_lossy(&self) -> bool {
         self.mean >= LOSSY_SENDS
     }
 }
--- a/crates/core/src/map_change/phase.rs
+++ b/crates/core/src/map_change/phase.rs
@@ -1,33 +1,33 @@
-//! Where a change stands.
+//! Phases of a map change and the orders of each phase.
 
 use super::leader::LeaderAction;
 use super::order::{OrderKind, OrderOutcome, RankOrder};
 use crate::direct::BootMs;
 use indexmap::IndexMap;
 
-/// Longest time for which orders of one kind may take up the leader's link; one that is full for longer
-/// holds up whatever else the leader says. Sent by the leader alone, a map was at all ranks of a group of
-/// 72 after 0.45 s, the longest part of a change.
-const MOST_LINK_MS: u64 = 100;
+/// Longest time for which orders of one kind may occupy the link of the leader; beyond it, other
+/// messages of the leader are delayed. When the leader sends a map to all 72 ranks of a group
+/// itself, that takes 0.45 s, the longest part of a change.
+const MAX_DIRECT_LINK_MS: u64 = 100;
 
-/// Time that orders sent again may make up for in one burst, half of it on the link: a few looks of the
-/// leader, in which nothing was due.
-const MOST_BURST_MS: u64 = 60;
+/// Limit of the unused resend budget that can accumulate. Resends take half of the link, and the
+/// limit is a few ticks of the leader.
+const MAX_RESEND_BURST_MS: u64 = 60;
 
-/// Where a change stands.
+/// The phase of a map change.
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
-    /// Nothing is under way.
+    /// No change is in progress.
     Steady,
-    /// Ranks copy what is new.
+    /// Ranks copy the experts that are new in the map.
     Preparing(Preparing),
-    /// The rank `holder` is told to hold a pass, and all ranks are asked once more.
+    /// The rank `holder` is ordered to hold a pass, and all ranks are polled once more.
     Holding(Holding),
-    /// Ranks are told to switch as the held pass begins.
+    /// Ranks are armed to switch as the held pass begins.
     Arming(Arming),
-    /// All ranks are armed; the held pass is let go.
+    /// All ranks are armed, and the held pass is released.
     Releasing { version: u64, holder: u16, orders: Orders },
-    /// A change that cannot go on is ended, and its pass let go.
+    /// A failed or abandoned change is ended, and its pass is released.
     Undoing(Undoing),
 }
 
@@ -35,20 +35,20 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Preparing {
     pub(crate) version: u64,
-    /// The rank that is to hold a pass, whose agent gets to know the leader meanwhile.
+    /// The rank that is to hold a pass. Its agent learns meanwhile which leader it holds for.
     pub(crate) holder: u16,
     pub(crate) orders: Orders,
     pub(crate) give_up_at: BootMs,
 }
 
-/// A change whose pass is to be held.
+/// A change whose pass is about to be held.
 #[derive(Clone, Debug)]
 pub(crate) struct Holding {
     pub(crate) version: u64,
     pub(crate) holder: u16,
     pub(crate) orders: Orders,
-    /// Since when ranks are asked whether they can be armed.
-    pub(crate) asked_at: BootMs,
+    /// When polling the ranks for arming began.
+    pub(crate) polled_since: BootMs,
 }
 
 /// A change whose pass is held and whose ranks are being armed.
@@ -63,31 +63,32 @@
     pub(crate) give_up_at: BootMs,
 }
 
-/// The end of a change that cannot go on.
+/// The end of a failed or abandoned change.
 #[derive(Clone, Debug)]
 pub(crate) struct Undoing {
     pub(crate) stage: UndoStage,
-    /// Ranks that hold a pass, and which.
+    /// Ranks that hold a pass, each with the number of the pass.
     pub(crate) held: Vec<(u16, u64)>,
-    /// Ranks that answer nobody, and need no order.
+    /// Ranks that do not answer and need no order.
     pub(crate) silent: Vec<u16>,
     pub(crate) version: u64,
     pub(crate) orders: Orders,
 }
 
-/// Steps of an undoing; it is either armed or disarmed, not both.
+/// Stages of undoing a change, which either disarms or arms the ranks, never both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UndoStage {
-    /// The ranks that hold a pass see the new fence first: from then on nobody else can let go.
+    /// The ranks that hold a pass receive the new fencing number first, so that no earlier leader
+    /// can release the pass.
     Fencing,
     /// All ranks are disarmed.
     Disarming,
     /// All ranks are armed, as most were already.
     Arming,
-    /// Where ranks heed no fence, all prepare the map that they have, so that the abandoned one is
-    /// prepared no longer.
+    /// For ranks that do not enforce fencing numbers: each prepares the map that it uses, which
+    /// replaces the abandoned one.
     Voiding,
-    /// The held passes go.
+    /// The held passes are released.
     Releasing,
 }
 
@@ -103,7 +104,7 @@
         }
     }
 
-    /// The rank that holds a pass, or is about to.
+    /// Returns the rank that holds a pass or is about to.
     pub(crate) fn holder(&self) -> Option<u16> {
         match self {
             Self::Preparing(Preparing { holder, .. })
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Whether a pass is held, or is about to be.
+    /// Returns whether a pass is held or about to be.
     pub(crate) const fn is_held(&self) -> bool {
         !matches!(self, Self::Steady | Self::Preparing(_))
     }
@@ -144,22 +145,22 @@
     }
 }
 
-/// Orders of one phase, one to each of some ranks.
+/// The orders of one phase, at most one per rank.
 #[derive(Clone, Debug)]
 pub(crate) struct Orders {
-    /// The group's epoch for which the phase is meant, also where there is nothing to order.
+    /// Epoch of the group for which the phase is valid, also when there are no orders.
     epoch: u64,
     rows: IndexMap<u16, OrderRow>,
-    /// Time of the leader's link that one order takes.
+    /// Time for which one order occupies the link of the leader.
     link_ms: u64,
-    /// Until when the link is taken by orders that were sent again.
-    again_until: BootMs,
+    /// Until when resent orders have used up their share of the link.
+    resend_budget_until: BootMs,
 }
 
 #[derive(Clone, Debug)]
 struct OrderRow {
     delivered_by: u16,
-    /// The rank whose agent passes the first copy of the order on.
+    /// The rank whose agent relays the first send of the order.
     relayed_by: Option<u16>,
     number: u64,
     order: RankOrder,
@@ -169,17 +170,17 @@
 }
 
 impl Orders {
-    /// No orders yet, for a phase in `epoch`.
-    pub(crate) fn of(epoch: u64) -> Self {
-        Self { epoch, rows: IndexMap::new(), link_ms: 0, again_until: BootMs(0) }
+    /// Creates an empty set of orders for a phase in `epoch`.
+    pub(crate) fn for_epoch(epoch: u64) -> Self {
+        Self { epoch, rows: IndexMap::new(), link_ms: 0, resend_budget_until: BootMs(0) }
     }
 
-    /// Adds an order that is sent at once, and given by the agent beside the rank.
+    /// Adds an order that is due at once and delivered by the agent of the rank itself.
     pub(crate) fn add(&mut self, rank: u16, number: u64, order: RankOrder) {
         self.add_delivered_by(rank, rank, number, order);
     }
 
-    /// Adds an order that is sent at once, and given by the agent beside the rank `delivered_by`.
+    /// Adds an order that is due at once and delivered by the agent of the rank `delivered_by`.
     pub(crate) fn add_delivered_by(
         &mut self,
         delivered_by: u16,
@@ -200,15 +201,15 @@
         self.rows.insert(rank, row);
     }
 
-    /// Lets the orders be sent so that each takes up the leader's link for `link_ms`.
+    /// Schedules the orders, each of which occupies the link of the leader for `link_ms`.
     ///
-    /// A few go out one after the other. Of many, some agents get theirs at once and pass it on to a
-    /// few others each, over their own links.
-    pub(crate) fn spread(&mut self, now: BootMs, link_ms: u64) {
+    /// A few orders are sent one after the other. If there are many, some agents receive theirs at
+    /// once and relay it to a few others each, over their own links.
+    pub(crate) fn schedule(&mut self, now: BootMs, link_ms: u64) {
         self.link_ms = link_ms;
         let count = self.rows.len();
-        if count as u64 * link_ms > MOST_LINK_MS {
-            self.pass_on(count.isqrt() + 1);
+        if count as u64 * link_ms > MAX_DIRECT_LINK_MS {
+            self.assign_relays(count.isqrt() + 1);
             return;
         }
         for (index, row) in (0..).zip(self.rows.values_mut()) {
@@ -216,8 +217,8 @@
         }
     }
 
-    /// Lets the first agent of every `chunk` pass the order on to the others.
-    fn pass_on(&mut self, chunk: usize) {
+    /// Makes the first agent of every `chunk` ranks relay the order to the others.
+    fn assign_relays(&mut self, chunk: usize) {
         let ranks: Vec<u16> = self.rows.keys().copied().collect();
         for ranks in ranks.chunks(chunk) {
             for rank in &ranks[1..] {
@@ -228,8 +229,8 @@
         }
     }
 
-    /// Takes note of an order's end; returns whether it belongs to this phase.
-    pub(crate) fn end(&mut self, rank: u16, number: u64, end: OrderOutcome) -> bool {
+    /// Records the outcome of an order. Returns whether the order belongs to this phase.
+    pub(crate) fn set_outcome(&mut self, rank: u16, number: u64, end: OrderOutcome) -> bool {
         match self.rows.get_mut(&rank).filter(|row| row.number == number) {
             Some(row) => {
                 row.end = Some(end);
@@ -239,8 +240,8 @@
         }
     }
 
-    /// Whether the orders are meant for `epoch`.
-    pub(crate) const fn is_of(&self, epoch: u64) -> bool {
+    /// Returns whether the orders are for `epoch`.
+    pub(crate) const fn is_for_epoch(&self, epoch: u64) -> bool {
         self.epoch == epoch
     }
 
@@ -248,16 +249,16 @@
         self.rows.values().all(|row| row.end == Some(OrderOutcome::Done))
     }
 
-    pub(crate) fn any(&self, end: OrderOutcome) -> bool {
+    pub(crate) fn has_outcome(&self, end: OrderOutcome) -> bool {
         self.rows.values().any(|row| row.end == Some(end))
     }
 
-    /// Ranks without an answer.
-    pub(crate) fn open(&self) -> usize {
+    /// Returns the number of orders without an answer.
+    pub(crate) fn unanswered(&self) -> usize {
         self.rows.values().filter(|row| row.end.is_none()).count()
     }
 
-    /// Gives an order in place of one that its agent could not understand.
+    /// Replaces an order that its agent could not resolve, and makes it due at once.
     pub(crate) fn replace(&mut self, rank: u16, number: u64, kind: OrderKind) {
         if let Some(row) = self.rows.get_mut(&rank).filter(|row| row.number == number) {
             row.order.kind = kind;
@@ -265,27 +266,27 @@
         }
     }
 
-    /// Orders to be sent now, the first time or again.
+    /// Returns the orders to send now, for the first time or again.
     ///
-    /// Those that are sent again take half of the link at most: behind a hundred maps, signs that the
-    /// leader lives would come too late.
-    pub(crate) fn due(&mut self, now: BootMs, again_ms: u64) -> Vec<LeaderAction> {
+    /// Resends take at most half of the link, because heartbeats would be delayed too long behind a
+    /// hundred maps.
+    pub(crate) fn due(&mut self, now: BootMs, resend_ms: u64) -> Vec<LeaderAction> {
         let mut actions = Vec::new();
-        let mut again_until = self.again_until.max(now.before(MOST_BURST_MS));
+        let mut resend_budget_until = self.resend_budget_until.max(now.before(MAX_RESEND_BURST_MS));
         for (rank, row) in &mut self.rows {
             if row.end.is_some() || row.send_at > now {
                 continue;
             }
             if row.is_sent {
-                if again_until >= now {
+                if resend_budget_until >= now {
                     continue;
                 }
-                again_until = again_until.after(2 * self.link_ms);
+                resend_budget_until = resend_budget_until.after(2 * self.link_ms);
             }
-            row.send_at = now.after(again_ms);
+            row.send_at = now.after(resend_ms);
             row.is_sent = true;
             let (rank, delivered_by, number) = (*rank, row.delivered_by, row.number);
-            // An agent that is gone passes nothing on; the leader itself gives the order again.
+            // If the relaying agent has failed, the leader sends the order itself the next time.
             let relayed_by = row.relayed_by.take();
             actions.push(LeaderAction::Send {
                 rank,
@@ -295,7 +296,7 @@
                 order: row.order.clone(),
             });
         }
-        self.again_until = again_until;
+        self.resend_budget_until = resend_budget_until;
         actions
     }
 }
--- a/crates/core/src/map_change/silence_detector.rs
+++ b/crates/core/src/map_change/silence_detector.rs
@@ -1,107 +1,111 @@
-//! Which agents a leader no longer hears, so that entries can be told.
+//! Detects agents that have gone silent, so that the leader can report them to the entries.
 //!
-//! The load that this answers: a machine freezes for seconds. Its rank makes passes with the others, but
-//! what it answers stays on the machine, and so does every request that waits there. A caller leaves after
-//! 2 s without an event; an entry that has only silence to go by needs most of that to tell a frozen machine
-//! from a slow group.
+//! When an instance freezes for seconds, its rank keeps running passes with the others, but its
+//! answers and all requests queued there stay on the instance. A caller leaves after 2 s without an
+//! event. An entry that relies on its own observation needs most of that time to tell a frozen
+//! instance from a slow group.
 
 use crate::direct::{BootMs, most_left};
 use indexmap::{IndexMap, IndexSet};
 use std::net::{IpAddr, SocketAddr};
 
-/// Silence of an agent from which entries are told: several rounds of polls, of which some may be lost.
-const UNHEARD_MS: u64 = 350;
+/// Silence after which an agent is reported: several rounds of polls, some of which may be lost.
+const MAX_SILENCE_MS: u64 = 350;
 
-/// Pause after which entries are told again; they believe it for 3 s.
-const SAY_AGAIN_MS: u64 = 2_000;
+/// Interval after which a report is repeated. Entries discard it after 3 s.
+const REPEAT_MS: u64 = 2_000;
 
-/// Pause between two looks from which the leader itself counts as having slept.
-const OWN_PAUSE_MS: u64 = 200;
+/// Gap between two updates above which the leader itself counts as having been suspended.
+const MAX_UPDATE_GAP_MS: u64 = 200;
 
-/// When an agent was heard.
+/// Time of the last message from an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LastContact {
-    /// Its machine.
+    /// Instance of the agent.
     pub machine: IpAddr,
-    /// The last time, if ever.
+    /// When the last message arrived, if any has.
     pub heard_at: Option<BootMs>,
-    /// When this agent took its place as leader, if it did.
+    /// When the local agent took over from it as leader, if it did.
     pub replaced_at: Option<BootMs>,
 }
 
-/// What entries are to be told of a machine.
+/// Reachability of an instance, as reported to the entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reachability {
-    /// The machine.
+    /// The instance.
     pub machine: IpAddr,
-    /// Whether its agent is heard.
+    /// Whether messages from its agent arrive.
     pub is_heard: bool,
 }
 
-/// Machines of the other ranks of a group, by the addresses of their agents as far as the leader on `own` knows
-/// them, and that of the leader whose place it took.
+/// Returns the instances to monitor: those of the other ranks of the group, by the addresses of
+/// their agents as far as the leader on `own` knows them, and that of the leader that it replaced.
 ///
-/// A service may have many groups, whose agents a leader hears now and then. Taken for its own they would seem
-/// to go silent: one would see entries told of machines that are well, by each leader again and again.
+/// A service may have many groups, and a leader occasionally receives messages from agents of other
+/// groups. Monitoring those too would make them appear silent, and every leader would keep
+/// reporting healthy instances.
 #[must_use]
 pub fn machines_to_monitor(
     ranks: &IndexMap<u16, SocketAddr>,
-    given_up: Option<IpAddr>,
+    replaced: Option<IpAddr>,
     own: IpAddr,
 ) -> IndexSet<IpAddr> {
     let ranks = ranks.values().map(SocketAddr::ip);
-    ranks.chain(given_up).filter(|machine| *machine != own).collect()
+    ranks.chain(replaced).filter(|machine| *machine != own).collect()
 }
 
-/// What entries were told of the machines of a group.
+/// Tracks which instances of a group were reported to the entries as silent.
 #[derive(Clone, Debug, Default)]
 pub struct SilenceDetector {
-    looked_at: BootMs,
-    /// Since when the leader has looked without a long pause.
-    awake_since: BootMs,
-    /// Machines that entries were told of, and when.
-    said: IndexMap<IpAddr, BootMs>,
+    updated_at: BootMs,
+    /// Since when updates have followed each other without a long gap.
+    running_since: BootMs,
+    /// Instances reported as silent, with the time of the last report.
+    reported: IndexMap<IpAddr, BootMs>,
 }
 
 impl SilenceDetector {
-    /// Forgets what was told, as an agent that does not lead.
+    /// Resets the state while the agent is not the leader.
     pub fn clear(&mut self) {
-        self.said.clear();
-        self.looked_at = BootMs(0);
+        self.reported.clear();
+        self.updated_at = BootMs(0);
     }
 
-    /// Looks at when other agents were last heard; gives what entries are to be told.
+    /// Evaluates when other agents last sent a message. Returns the reports for the entries.
     pub fn update(&mut self, now: BootMs, others: &[LastContact]) -> Vec<Reachability> {
-        if now.since(self.looked_at) > OWN_PAUSE_MS {
-            self.awake_since = now;
+        if now.since(self.updated_at) > MAX_UPDATE_GAP_MS {
+            self.running_since = now;
         }
-        self.looked_at = now;
+        self.updated_at = now;
         let silent = others.iter().filter(|other| self.is_silent(now, other));
         let silent: Vec<IpAddr> = silent.map(|other| other.machine).collect();
         let heard: Vec<IpAddr> =
-            self.said.keys().filter(|machine| !silent.contains(machine)).copied().collect();
-        self.said.retain(|machine, _| silent.contains(machine));
-        let mut told: Vec<Reachability> =
+            self.reported.keys().filter(|machine| !silent.contains(machine)).copied().collect();
+        self.reported.retain(|machine, _| silent.contains(machine));
+        let mut changes: Vec<Reachability> =
             heard.into_iter().map(|machine| Reachability { machine, is_heard: true }).collect();
-        // Entries leave no more; and where more are silent, the own link is the likelier cause.
+        // Entries avoid at most this many backend servers, and if more are silent, the local link
+        // is the likelier cause.
         if silent.len() <= most_left(others.len()) {
             let is_due = |machine: &IpAddr| {
-                self.said.get(machine).is_none_or(|at| now.since(*at) >= SAY_AGAIN_MS)
+                self.reported.get(machine).is_none_or(|at| now.since(*at) >= REPEAT_MS)
             };
             let due: Vec<IpAddr> = silent.into_iter().filter(is_due).collect();
-            self.said.extend(due.iter().map(|machine| (*machine, now)));
-            told.extend(due.into_iter().map(|machine| Reachability { machine, is_heard: false }));
+            self.reported.extend(due.iter().map(|machine| (*machine, now)));
+            changes
+                .extend(due.into_iter().map(|machine| Reachability { machine, is_heard: false }));
         }
-        told
+        changes
     }
 
-    /// Whether an agent has gone silent.
+    /// Returns whether an agent has gone silent.
     ///
-    /// One that was never heard may not have started yet, and its rank is well. After a sleep of its own
-    /// the leader would take all others for silent, so silence counts from its waking.
+    /// An agent that was never heard may not have started yet while its rank is healthy. After a
+    /// suspension of its own instance, the leader would take all other agents for silent, so
+    /// silence counts from the time it resumed.
     fn is_silent(&self, now: BootMs, other: &LastContact) -> bool {
         let Some(heard_at) = other.heard_at else { return false };
-        let is_given_up = other.replaced_at.is_some_and(|at| at >= heard_at);
-        is_given_up || now.since(heard_at.max(self.awake_since)) > UNHEARD_MS
+        let is_replaced = other.replaced_at.is_some_and(|at| at >= heard_at);
+        is_replaced || now.since(heard_at.max(self.running_since)) > MAX_SILENCE_MS
     }
 }
--- a/crates/core/src/map_change/status.rs
+++ b/crates/core/src/map_change/status.rs
@@ -1,116 +1,118 @@
-//! What a rank says of itself.
+//! Status reports of ranks.
 
 use serde::{Deserialize, Serialize};
 
-/// A rank's word about its part in the group, as its agent read it.
+/// Status of a rank, as an agent read it from the engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankStatus {
-    /// Its group.
+    /// Name of the group.
     pub group: String,
-    /// Its place in the group.
+    /// Number of the rank within the group.
     pub rank: u16,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub ranks: u16,
-    /// Grows each time the group is formed.
+    /// Epoch of the group, which increases each time the group is formed.
     pub epoch: u64,
-    /// Whether the group makes passes.
+    /// Whether the group runs passes.
     pub is_open: bool,
-    /// The last pass that was begun.
+    /// Number of the last pass that has begun.
     pub step: u64,
-    /// The map in use.
+    /// Version of the map in use.
     pub map: u64,
-    /// The newest map whose copies are complete.
+    /// Version of the newest map that is copied completely.
     pub prepared: Option<u64>,
-    /// The map to which the rank will switch.
+    /// The pending switch to another map, if any.
     pub armed: Option<Armed>,
-    /// The pass that does not begin before it is let go.
+    /// Number of the pass that the rank holds, if any.
     pub held_step: Option<u64>,
-    /// The highest fence that the agent has sent to the rank.
+    /// The highest fencing number that the agent has sent to the rank.
     pub highest_fence: u64,
-    /// What the agent knows of the rank beside the leader for which its own rank holds.
+    /// What the agent of the rank that holds a pass recorded about the leader's rank.
     pub witness: Option<Witness>,
-    /// How much longer the rank's own work takes than usual, in thousandths.
+    /// Duration of the rank's own work relative to its usual duration, in thousandths.
     pub pace_permille: u32,
-    /// Whether the leader read this by itself, because the rank's agent is not heard. Such a word
-    /// is some hundred milliseconds old.
+    /// Whether the leader read this status over the network because the rank's agent is silent.
+    /// Such a status is some hundred milliseconds old.
     #[serde(rename = "is_from_afar")]
     pub is_read_remotely: bool,
-    /// How often experts were chosen since the agent's last status.
+    /// How often each expert was chosen since the previous status of the agent.
     pub counts: CountsSample,
-    /// Experts that the rank holds, by layer, when the leader does not know them.
+    /// Experts that the rank holds, by layer; none if the leader knows them.
     pub experts: Option<Vec<Vec<u16>>>,
 }
 
-/// A rank that will switch.
+/// A pending switch of a rank to a prepared map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Armed {
-    /// To this map.
+    /// Version of the map.
     pub version: u64,
-    /// As this pass begins.
+    /// Number of the pass at whose beginning the rank switches.
     pub step: u64,
 }
 
-/// What the agent of a rank that holds a pass knows of the leader that it holds for.
+/// Record of whether the leader's own rank is armed, kept by the agent of the rank that holds a
+/// pass.
 ///
-/// Nobody else orders the rank beside that leader to switch, so this tells whether it is armed also while
-/// its machine answers nobody.
+/// No other agent arms that rank, so the record is reliable even while the instance of the leader
+/// does not answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Witness {
-    /// The leader's fence.
+    /// Fencing number of the leader.
     pub fence: u64,
-    /// The rank beside it.
+    /// The leader's own rank.
     pub rank: u16,
-    /// The order to switch that the agent gave to that rank.
+    /// The last order to arm that the agent delivered to that rank.
     pub ordered: Option<ArmAttempt>,
 }
 
-/// An order to switch, given to the rank beside a leader by another rank's agent.
+/// An attempt of a witness to arm the leader's own rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ArmAttempt {
-    /// As this pass begins.
+    /// Number of the pass at whose beginning the rank is to switch.
     pub step: u64,
-    /// Whether the rank is armed; it may or may not be otherwise.
+    /// Whether the rank has confirmed that it is armed. If not, it may or may not be.
     pub is_armed: bool,
 }
 
 impl Witness {
-    /// What is known of the leader's rank before the held pass `step`.
-    pub(super) fn knows(&self, step: u64) -> Knowledge {
+    /// Returns what the record implies for the leader's rank before the held pass `step`.
+    pub(super) fn arm_knowledge(&self, step: u64) -> ArmKnowledge {
         match self.ordered.filter(|ordered| ordered.step == step) {
-            None => Knowledge::NotArmed,
-            Some(ArmAttempt { is_armed: true, .. }) => Knowledge::Armed,
-            Some(ArmAttempt { is_armed: false, .. }) => Knowledge::InDoubt,
+            None => ArmKnowledge::NotArmed,
+            Some(ArmAttempt { is_armed: true, .. }) => ArmKnowledge::Armed,
+            Some(ArmAttempt { is_armed: false, .. }) => ArmKnowledge::Unknown,
         }
     }
 }
 
-/// What is known of a rank without asking it.
+/// What is known about a rank without polling it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Knowledge {
-    /// It is not armed for the held pass, and nobody will arm it.
+pub(super) enum ArmKnowledge {
+    /// The rank is not armed for the held pass, and nobody will arm it.
     NotArmed,
-    /// It is armed for the held pass, and so are all others.
+    /// The rank is armed for the held pass, and so are all others.
     Armed,
-    /// An order to arm was given and not answered.
-    InDoubt,
+    /// An order to arm was sent and not answered.
+    Unknown,
 }
 
-/// Mean of the numbers that tell of the choices of experts. A rank's own rounding is then a tenth of a
-/// typical number, and less than the chance in its requests; over all ranks it averages out.
+/// Mean of the rounded counts in a sample. The rounding error of a single rank is then about a
+/// tenth of a typical count, less than the random variation of its requests, and averages out over
+/// all ranks.
 const MEAN_COUNT: u64 = 4;
 
-/// Choices of experts between two statuses, told in few bits: a leader hears them of every rank
-/// several times a second, over the link of a small machine.
+/// How often each expert was chosen between two statuses, in a compact form. A leader receives the
+/// counts of every rank several times per second over the link of a small instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CountsSample {
-    /// Choices that one count stands for.
+    /// Number of choices that one count represents.
     pub unit: u32,
-    /// Counts, layer after layer, expert after expert; empty when there is nothing to compare.
+    /// Counts by layer, then by expert; empty if there is no earlier status to compare with.
     pub counts: Vec<u32>,
 }
 
 impl CountsSample {
-    /// Rounds choices to counts that are small on average.
+    /// Scales choices down to counts whose mean is small.
     #[must_use]
     pub fn of(choices: &[u32]) -> Self {
         let sum: u64 = choices.iter().copied().map(u64::from).sum();
--- a/crates/core/src/map_change/status_collection.rs
+++ b/crates/core/src/map_change/status_collection.rs
@@ -1,42 +1,43 @@
-//! Statuses of a section of a large group, collected by one of its agents.
+//! Collects the statuses of a section of a large group on one of its agents, which sends them to
+//! the leader in one message.
 
 use super::status::{CountsSample, RankStatus};
 use crate::direct::BootMs;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Age from which a collection is not told any more: several times the wait for the last answer.
-const MOST_AGE_MS: u64 = 200;
+/// Age above which a collection is discarded: several times the wait for the last answer.
+const MAX_AGE_MS: u64 = 200;
 
-/// What an agent has collected for the leader.
+/// Statuses of a section, as sent to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CollectedStatuses {
-    /// The section, by the leader's number.
+    /// Number that the leader gave to the section.
     pub section: u16,
-    /// The statuses without their counts, each with its agent's address.
+    /// The statuses without their counts, each with the address of its agent.
     pub statuses: Vec<(SocketAddr, RankStatus)>,
-    /// The sum of their counts.
+    /// Sum of the counts of all statuses.
     pub counts: CountsSample,
 }
 
-/// Statuses on their way to a leader.
+/// Statuses that an agent is collecting for a leader.
 #[derive(Clone, Debug)]
 pub struct StatusCollection {
-    awaited: usize,
-    /// Until when what was collected is of the present.
-    tell_until: BootMs,
+    expected: usize,
+    /// When the collected statuses become too old to send.
+    valid_until: BootMs,
     collected: CollectedStatuses,
     choices: Vec<u64>,
 }
 
 impl StatusCollection {
-    /// Begins to collect the statuses of `awaited` agents of a section.
+    /// Starts a collection of the statuses of `expected` agents of a section.
     #[must_use]
-    pub fn new(now: BootMs, section: u16, awaited: usize) -> Self {
-        let tell_until = now.after(MOST_AGE_MS);
+    pub fn new(now: BootMs, section: u16, expected: usize) -> Self {
+        let valid_until = now.after(MAX_AGE_MS);
         let counts = CountsSample::default();
         let collected = CollectedStatuses { section, statuses: Vec::new(), counts };
-        Self { awaited, tell_until, collected, choices: Vec::new() }
+        Self { expected, valid_until, collected, choices: Vec::new() }
     }
 
     /// Adds the status of the rank whose agent is at `agent`.
@@ -45,7 +46,7 @@
         if self.choices.is_empty() {
             self.choices = vec![0; counts.len()];
         }
-        // A rank that has just started tells none.
+        // A rank that has just started sends no counts.
         for (sum, count) in self.choices.iter_mut().zip(counts) {
             *sum += u64::from(*unit) * u64::from(*count);
         }
@@ -53,19 +54,20 @@
         self.collected.statuses.push((agent, status));
     }
 
-    /// Whether every agent that was asked has answered.
+    /// Returns whether every polled agent has answered.
     #[must_use]
     pub fn is_complete(&self) -> bool {
-        self.collected.statuses.len() >= self.awaited
+        self.collected.statuses.len() >= self.expected
     }
 
-    /// What is to be told to the leader; nothing when it is too old.
+    /// Returns the message for the leader, or nothing if no status arrived or the collection is too
+    /// old.
     ///
-    /// An agent whose machine freezes while it collects goes on seconds later. Its leader would take what
-    /// ranks said then for their present word, and wait for passes and maps that are over.
+    /// An agent whose instance freezes while it collects resumes seconds later. The leader would
+    /// take the old statuses for current ones and wait for passes and maps that are already over.
     #[must_use]
     pub fn finish(mut self, now: BootMs) -> Option<CollectedStatuses> {
-        if self.collected.statuses.is_empty() || now > self.tell_until {
+        if self.collected.statuses.is_empty() || now > self.valid_until {
             return None;
         }
         let choices = self.choices.iter().map(|it| u32::try_from(*it).unwrap_or(u32::MAX));
--- a/crates/core/src/map_change/undo.rs
+++ b/crates/core/src/map_change/undo.rs
@@ -1,4 +1,4 @@
-//! Ends a change that cannot go on, and lets its pass go.
+//! Undoes a failed or abandoned change and releases its pass.
 
 use super::change::FENCE_STEP;
 use super::leader::{Leader, LeaderAction};
@@ -6,18 +6,19 @@
 use super::phase::{Orders, Phase, UndoStage, Undoing};
 
 impl Leader {
-    /// Passes that ranks hold.
-    pub(super) fn held(&self) -> Vec<(u16, u64)> {
+    /// Returns the ranks that hold a pass, each with the number of the pass.
+    pub(super) fn held_passes(&self) -> Vec<(u16, u64)> {
         self.statuses().filter_map(|status| Some((status.rank, status.held_step?))).collect()
     }
 
-    /// Begins to disarm all ranks but those that are `silent` and not armed, and to let held passes go
-    /// after that.
+    /// Begins to disarm all ranks except those that are `silent` and known not to be armed. Held
+    /// passes are released after that.
     ///
-    /// An order of the old fence may still be on its way and be carried out seconds later. Every
-    /// rank is shown a higher fence before anything goes, so that it refuses such an order. The ranks
-    /// that hold are shown it first: whoever led before may have let the pass go a moment ago, and
-    /// disarming one rank then would make it begin with two maps.
+    /// An order of the previous fencing number may still be in flight and be carried out seconds
+    /// later. Every rank receives a higher fencing number before any pass is released, so that it
+    /// refuses such an order. The ranks that hold a pass receive it first: the previous leader may
+    /// have just released the pass, and disarming a rank then would make the pass begin with two
+    /// maps.
     pub(super) fn begin_undo(
         &mut self,
         epoch: u64,
@@ -28,7 +29,7 @@
     ) {
         self.fence += FENCE_STEP;
         let version = self.abandoned_version();
-        let mut orders = Orders::of(epoch);
+        let mut orders = Orders::for_epoch(epoch);
         for (rank, step) in &held {
             let order = self.order(epoch, OrderKind::Fence { step: *step });
             orders.add(*rank, self.take_number(), order);
@@ -38,15 +39,20 @@
         self.note(cause, version, epoch, None, actions);
     }
 
-    pub(super) fn undo(&mut self, epoch: u64, undoing: Undoing, actions: &mut Vec<LeaderAction>) {
+    pub(super) fn advance_undoing(
+        &mut self,
+        epoch: u64,
+        undoing: Undoing,
+        actions: &mut Vec<LeaderAction>,
+    ) {
         let version = undoing.version;
         if !undoing.orders.all_done() {
-            let is_refused =
-                undoing.orders.any(OrderOutcome::Refused) && undoing.orders.open() == 0;
+            let is_refused = undoing.orders.has_outcome(OrderOutcome::Refused)
+                && undoing.orders.unanswered() == 0;
             if is_refused {
-                // Decided anew from fresh statuses.
+                // The next decision starts over from fresh statuses.
                 if undoing.stage == UndoStage::Fencing {
-                    undoing.held.iter().for_each(|(rank, _)| self.note_let_go(*rank));
+                    undoing.held.iter().for_each(|(rank, _)| self.clear_held_step(*rank));
                 }
                 self.note("undo-refused", version, epoch, None, actions);
                 return;
@@ -57,14 +63,14 @@
         let Undoing { stage, held, silent, .. } = undoing;
         let next = match stage {
             UndoStage::Fencing => {
-                let orders = self.orders_but(&silent, epoch, &OrderKind::Disarm { version });
+                let orders = self.orders_except(&silent, epoch, &OrderKind::Disarm { version });
                 Some((UndoStage::Disarming, orders))
             }
-            UndoStage::Disarming if !self.heeds_fences => {
-                Some((UndoStage::Voiding, self.orders_to_void(epoch, &silent)))
+            UndoStage::Disarming if !self.enforces_fences => {
+                Some((UndoStage::Voiding, self.void_orders(epoch, &silent)))
             }
             UndoStage::Disarming | UndoStage::Voiding | UndoStage::Arming => {
-                Some((UndoStage::Releasing, self.orders_to_go(epoch, &held)))
+                Some((UndoStage::Releasing, self.release_orders(epoch, &held)))
             }
             UndoStage::Releasing => None,
         };
@@ -73,27 +79,28 @@
                 let undoing = Undoing { stage, held, silent, version, orders };
                 self.phase = Phase::Undoing(undoing);
             }
-            None => held.iter().for_each(|(rank, _)| self.note_let_go(*rank)),
+            None => held.iter().for_each(|(rank, _)| self.clear_held_step(*rank)),
         }
         self.note("undone-so-far", version, epoch, None, actions);
     }
 
-    /// The map of a change that was left: the one that ranks are armed for, or the newest prepared one.
+    /// Returns the map of the abandoned change: the one that ranks are armed for, or the newest
+    /// prepared one.
     fn abandoned_version(&self) -> u64 {
         let armed = self.statuses().find_map(|status| status.armed).map(|armed| armed.version);
         let prepared = || self.statuses().filter_map(|status| status.prepared).max();
         armed.or_else(prepared).unwrap_or(0)
     }
 
-    /// Orders that make every order to arm for the abandoned map void.
+    /// Creates orders that invalidate every order to arm for the abandoned map.
     ///
-    /// Some platforms' ranks heed no fence. An order to arm that was left unanswered may be carried out
-    /// seconds later, between the disarming and the pass; one would see that pass begin with two maps. A
-    /// rank arms only for a map that it has prepared, so each one prepares what it holds under a new
-    /// name, for which nothing is copied.
-    fn orders_to_void(&mut self, epoch: u64, silent: &[u16]) -> Orders {
+    /// The ranks of some platforms do not enforce fencing numbers. An unanswered order to arm may
+    /// be carried out seconds later, between the disarming and the pass, and that pass would begin
+    /// with two maps. A rank arms only for a map that it has prepared, so each rank prepares the
+    /// map that it uses under a new version, for which nothing is copied.
+    fn void_orders(&mut self, epoch: u64, silent: &[u16]) -> Orders {
         let version = self.next_version();
         let experts_per_layer = self.experts_per_layer;
-        self.orders_but(silent, epoch, &OrderKind::Void { version, experts_per_layer })
+        self.orders_except(silent, epoch, &OrderKind::Void { version, experts_per_layer })
     }
 }
--- a/crates/core/src/map_change/uneven.rs
+++ b/crates/core/src/map_change/uneven.rs
@@ -1,72 +1,73 @@
-//! Why a group that is uneven gets no other map.
+//! Reports why a group with an uneven load keeps its map.
 
 use super::leader::Leader;
 use crate::direct::BootMs;
 
-/// Time without an even map from which a leader says why. A change that meets no trouble is over by then.
+/// Time without a balanced map after which the leader reports the reason. An undisturbed change
+/// takes less.
 const UNEVEN_MS: u64 = 1_000;
 
-/// Pause between two such lines.
-const SAY_AGAIN_MS: u64 = 1_000;
+/// Interval between two reports.
+const NOTE_INTERVAL_MS: u64 = 1_000;
 
-/// What keeps a leader from beginning a change.
+/// The reason why a leader begins no change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Obstacle {
-    /// The rank beside the leader was not read yet.
+    /// The status of the leader's own rank has not been read yet.
     OwnRankUnread,
-    /// A change, or the end of one, is under way.
+    /// A change, or the undo of one, is in progress; the value is the name of its phase.
     Phase(&'static str),
-    /// A rank was not heard for so long, or never.
+    /// A rank has no recent status.
     RankMissed {
         /// The rank.
         rank: u16,
-        /// Age of its last word.
+        /// Age of its last status; none if there was no status.
         age_ms: Option<u64>,
     },
-    /// A rank tells of another epoch than the one beside the leader.
+    /// A rank reports another epoch than the leader's own rank.
     OtherEpoch {
         /// The rank.
         rank: u16,
     },
-    /// A rank says that the group makes no passes.
+    /// A rank reports that the group runs no passes.
     NotOpen {
         /// The rank.
         rank: u16,
     },
-    /// A rank holds a pass for a change that was left.
+    /// A rank holds a pass for an abandoned change.
     Held {
         /// The rank.
         rank: u16,
     },
-    /// A rank is armed for a change that was left.
+    /// A rank is armed for an abandoned change.
     Armed {
         /// The rank.
         rank: u16,
     },
-    /// A rank has another map than the others, or is read from another machine.
+    /// A rank uses another map than the others, or its status was read over the network.
     NotAligned {
         /// The rank.
         rank: u16,
     },
-    /// Some ranks have not told which experts they hold.
+    /// Some ranks have not reported which experts they hold.
     MapUnknown,
-    /// The demand has shifted, or too little is known of it.
+    /// The demand has just shifted, or there are too few samples of it.
     DemandUnsettled,
 }
 
-/// A line on a group that has been uneven for some time.
+/// Report about a group that has been uneven for some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnevenNote {
-    /// Why it gets no other map.
+    /// The reason why its map is not changed.
     pub obstacle: Obstacle,
-    /// Time since it had an even one, as far as this leader knows.
+    /// Time since the group last had a balanced map, as far as this leader knows.
     pub uneven_ms: u64,
-    /// The group's epoch by the word of the rank beside the leader.
+    /// Epoch of the group that the leader's own rank reports.
     pub epoch: Option<u64>,
 }
 
 impl Obstacle {
-    /// The word for logs.
+    /// Returns the name of the reason in logs.
     #[must_use]
     pub const fn as_str(&self) -> &'static str {
         match self {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The rank concerned.
+    /// Returns the rank concerned, if any.
     #[must_use]
     pub const fn rank(&self) -> Option<u16> {
         match self {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Age of that rank's last word, where that is the obstacle.
+    /// Returns the age of the last status of that rank, if its absence is the reason.
     #[must_use]
     pub const fn age_ms(&self) -> Option<u64> {
         match self {
@@ -107,46 +108,46 @@
     }
 }
 
-/// Since when a group has no even map.
+/// Tracks for how long a group has had no balanced map.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct EvenClock {
-    /// When the map was last known to be even, or the leader began.
+pub(super) struct ImbalanceClock {
+    /// When the map was last known to be balanced, or when the leader started.
     even_at: Option<BootMs>,
-    say_at: BootMs,
+    next_note_at: BootMs,
 }
 
-impl EvenClock {
-    /// Notes that no map would be more even.
+impl ImbalanceClock {
+    /// Records that no other map would be better balanced.
     pub(super) const fn note_even(&mut self, now: BootMs) {
         self.even_at = Some(now);
     }
 
-    /// Time without an even map.
+    /// Returns the time without a balanced map.
     fn uneven_ms(&mut self, now: BootMs) -> u64 {
         now.since(*self.even_at.get_or_insert(now))
     }
 
     fn is_due(&mut self, now: BootMs) -> bool {
-        let is_due = self.uneven_ms(now) >= UNEVEN_MS && self.say_at <= now;
+        let is_due = self.uneven_ms(now) >= UNEVEN_MS && self.next_note_at <= now;
         if is_due {
-            self.say_at = now.after(SAY_AGAIN_MS);
+            self.next_note_at = now.after(NOTE_INTERVAL_MS);
         }
         is_due
     }
 }
 
 impl Leader {
-    /// Time since the group had an even map, as far as this leader knows.
+    /// Returns the time since the group last had a balanced map, as far as this leader knows.
     pub fn uneven_ms(&mut self, now: BootMs) -> u64 {
-        self.even_clock.uneven_ms(now)
+        self.imbalance_clock.uneven_ms(now)
     }
 
-    /// Says now and then why a group that is uneven gets no other map.
+    /// Returns a report at regular intervals while the group is uneven.
     pub fn uneven_note(&mut self, now: BootMs) -> Option<UnevenNote> {
-        if !self.even_clock.is_due(now) {
+        if !self.imbalance_clock.is_due(now) {
             return None;
         }
-        let uneven_ms = self.even_clock.uneven_ms(now);
+        let uneven_ms = self.imbalance_clock.uneven_ms(now);
         let epoch = self.status_of(self.own_rank).map(|own| own.epoch);
         Some(UnevenNote { obstacle: self.obstacle(now), uneven_ms, epoch })
     }
@@ -156,7 +157,7 @@
         if self.is_changing() {
             return Obstacle::Phase(self.phase.as_str());
         }
-        let missed = (0..own.ranks).find(|rank| !self.is_present(*rank, own.epoch, now));
+        let missed = (0..own.ranks).find(|rank| !self.has_current_status(*rank, own.epoch, now));
         if let Some(rank) = missed {
             return match self.status_of(rank) {
                 Some(status) if status.epoch != own.epoch => Obstacle::OtherEpoch { rank },
