--- a/crates/core/tests/map_change.rs
+++ b/crates/core/tests/map_change.rs
@@ -1,154 +1,151 @@
-//! One expert map in every pass, whatever becomes of orders and leaders.
+//! Tests that all ranks use one expert map in every pass, whatever happens to orders and leaders.
 
 mod map_change_support;
 
 use googletest::prelude::*;
 use hickorycross_core::map_change::Leader;
-use map_change_support::{DIMENSIONS, RANKS, Trouble, World};
+use map_change_support::{DIMENSIONS, Faults, RANKS, World};
 
-/// Virtual time of one run.
+/// Virtual duration of one run.
 const RUN_MS: u64 = 40_000;
 
-/// Longest time for which a group may stand still although all ranks can be reached.
-///
-/// Arming is given up after 1.2 s; undoing takes three rounds, each of which may meet unanswered
-/// orders several times.
-const LONGEST_STANDING_MS: u64 = 4_500;
+/// Longest time for which a group may stall although all ranks are reachable. Arming times out
+/// after 1.2 s, and an undo takes three rounds, each of which may meet several unanswered orders.
+const MAX_STALL_MS: u64 = 4_500;
 
-/// The same when a machine that led freezes for 3 to 5 s and no order is lost: its silence is noticed
-/// after 0.1 s, the others are polled within 60 ms, and undoing takes three rounds.
-const LONGEST_WITH_FROZEN_LEADER_MS: u64 = 500;
+/// Longest stall when the instance of a leader freezes for 3 to 5 s and no order is lost. Its
+/// silence is noticed after 0.1 s, the other ranks are polled within 60 ms, and an undo takes three
+/// rounds.
+const MAX_STALL_FROZEN_LEADER_MS: u64 = 500;
 
-/// The same when orders are lost as well: the rank beside a frozen leader may have taken the order to
-/// switch or not, and only its machine can tell when it wakes, after 5 s at most. The next leader may
-/// freeze before that.
-const LONGEST_IN_DOUBT_MS: u64 = 8_000;
+/// Longest stall when orders are lost as well. It may be unknown whether the rank of the frozen
+/// leader is armed until its instance resumes, after at most 5 s, and the next leader may freeze
+/// before that.
+const MAX_STALL_UNKNOWN_ARM_MS: u64 = 8_000;
 
-/// The same when nothing fails.
-const LONGEST_WITHOUT_TROUBLE_MS: u64 = 0;
+/// Longest stall without faults.
+const MAX_STALL_WITHOUT_FAULTS_MS: u64 = 0;
 
 struct Case {
     name: &'static str,
-    trouble: Trouble,
+    faults: Faults,
     seeds: std::ops::Range<u64>,
-    least_switches: u64,
-    longest_standing_ms: u64,
+    min_switches: u64,
+    longest_stall_ms: u64,
 }
 
-/// Symptom: a pass begins while two ranks have different maps, and answers are spoiled.
-///
-/// Events: an order to switch gets no answer and is carried out seconds later, after the leader has
-/// given up or died, or a frozen leader wakes and goes on where it stopped.
-///
-/// Cause: letting a held pass go before every rank refuses the orders of the abandoned change. The
-/// model asserts one map in each pass that begins.
+/// Guards against a pass that begins while two ranks have different maps, which corrupts answers.
+/// It happens when a held pass is released before every rank refuses the orders of the abandoned
+/// change: an unanswered order to arm is carried out seconds later, after its leader has given up
+/// or crashed, or a frozen leader resumes where it stopped. The model asserts that all ranks have
+/// one map in each pass that begins.
 #[gtest]
-fn every_pass_has_one_map() {
+fn all_ranks_use_the_same_map_in_every_pass() {
     let cases = [
         Case {
-            name: "no trouble",
-            trouble: Trouble::default(),
+            name: "no faults",
+            faults: Faults::default(),
             seeds: 0..3,
-            least_switches: 5,
-            longest_standing_ms: LONGEST_WITH_FROZEN_LEADER_MS,
+            min_switches: 5,
+            longest_stall_ms: MAX_STALL_FROZEN_LEADER_MS,
         },
         Case {
-            name: "machines freeze that have just ordered a hold",
-            trouble: Trouble { giver_freezes_permille: 400, ..Trouble::default() },
+            name: "instances freeze right after ordering a hold",
+            faults: Faults { hold_sender_freezes_permille: 400, ..Faults::default() },
             seeds: 0..25,
-            least_switches: 2,
-            longest_standing_ms: LONGEST_WITH_FROZEN_LEADER_MS,
+            min_switches: 2,
+            longest_stall_ms: MAX_STALL_FROZEN_LEADER_MS,
         },
         Case {
-            name: "machines that lead freeze while a rank holds",
-            trouble: Trouble { leader_freezes_permille: 60, ..Trouble::default() },
+            name: "instances of leaders freeze while a rank holds a pass",
+            faults: Faults { leader_freezes_permille: 60, ..Faults::default() },
             seeds: 0..25,
-            least_switches: 2,
-            longest_standing_ms: LONGEST_WITH_FROZEN_LEADER_MS,
+            min_switches: 2,
+            longest_stall_ms: MAX_STALL_FROZEN_LEADER_MS,
         },
         Case {
-            name: "machines freeze, ranks heed no fence and orders come late",
-            trouble: Trouble {
-                giver_freezes_permille: 200,
+            name: "instances freeze, ranks ignore fencing numbers and orders are delayed",
+            faults: Faults {
+                hold_sender_freezes_permille: 200,
                 leader_freezes_permille: 30,
                 late_permille: 200,
-                lost_permille: 100,
+                answer_lost_permille: 100,
                 ignores_fences: true,
-                ..Trouble::default()
+                ..Faults::default()
             },
             seeds: 0..20,
-            least_switches: 0,
-            longest_standing_ms: LONGEST_IN_DOUBT_MS,
+            min_switches: 0,
+            longest_stall_ms: MAX_STALL_UNKNOWN_ARM_MS,
         },
         Case {
             name: "answers are lost",
-            trouble: Trouble { lost_permille: 400, ..Trouble::default() },
+            faults: Faults { answer_lost_permille: 400, ..Faults::default() },
             seeds: 0..20,
-            least_switches: 3,
-            longest_standing_ms: LONGEST_STANDING_MS,
+            min_switches: 3,
+            longest_stall_ms: MAX_STALL_MS,
         },
         Case {
-            name: "orders are carried out late",
-            trouble: Trouble { late_permille: 400, ..Trouble::default() },
+            name: "orders are delayed",
+            faults: Faults { late_permille: 400, ..Faults::default() },
             seeds: 0..30,
-            least_switches: 1,
-            longest_standing_ms: LONGEST_STANDING_MS,
+            min_switches: 1,
+            longest_stall_ms: MAX_STALL_MS,
         },
         Case {
-            name: "ranks refuse orders at times",
-            trouble: Trouble { refused_permille: 100, ..Trouble::default() },
+            name: "ranks occasionally refuse orders",
+            faults: Faults { refused_permille: 100, ..Faults::default() },
             seeds: 0..30,
-            least_switches: 3,
-            longest_standing_ms: LONGEST_STANDING_MS,
+            min_switches: 3,
+            longest_stall_ms: MAX_STALL_MS,
         },
         Case {
-            name: "leaders die and freeze",
-            trouble: Trouble { leader_gone_permille: 10, ..Trouble::default() },
+            name: "leaders crash and freeze",
+            faults: Faults { leader_fails_permille: 10, ..Faults::default() },
             seeds: 0..30,
-            least_switches: 3,
-            longest_standing_ms: LONGEST_STANDING_MS,
+            min_switches: 3,
+            longest_stall_ms: MAX_STALL_MS,
         },
         Case {
-            name: "agents start anew and know no map",
-            trouble: Trouble { agent_restarts_permille: 5, ..Trouble::default() },
+            name: "agents restart and lose their maps",
+            faults: Faults { agent_restarts_permille: 5, ..Faults::default() },
             seeds: 0..20,
-            least_switches: 3,
-            longest_standing_ms: LONGEST_STANDING_MS,
+            min_switches: 3,
+            longest_stall_ms: MAX_STALL_MS,
         },
         Case {
-            name: "agents start anew, leaders die and orders come late",
-            trouble: Trouble {
+            name: "agents restart, leaders crash and orders are delayed",
+            faults: Faults {
                 agent_restarts_permille: 3,
-                leader_gone_permille: 5,
+                leader_fails_permille: 5,
                 late_permille: 200,
-                ..Trouble::default()
+                ..Faults::default()
             },
             seeds: 0..20,
-            least_switches: 0,
-            longest_standing_ms: LONGEST_STANDING_MS,
+            min_switches: 0,
+            longest_stall_ms: MAX_STALL_MS,
         },
         Case {
-            name: "everything together",
-            trouble: Trouble {
+            name: "all faults combined",
+            faults: Faults {
                 late_permille: 300,
-                lost_permille: 200,
-                leader_gone_permille: 5,
-                ..Trouble::default()
+                answer_lost_permille: 200,
+                leader_fails_permille: 5,
+                ..Faults::default()
             },
             seeds: 0..50,
-            least_switches: 0,
-            longest_standing_ms: LONGEST_STANDING_MS,
+            min_switches: 0,
+            longest_stall_ms: MAX_STALL_MS,
         },
     ];
     for case in cases {
         for seed in case.seeds {
-            let mut world = World::new(seed, case.trouble);
+            let mut world = World::new(seed, case.faults);
             world.run(RUN_MS);
-            expect_that!(world.switches, ge(case.least_switches), "{} seed {seed}", case.name);
+            expect_that!(world.switches, ge(case.min_switches), "{} seed {seed}", case.name);
             expect_that!(
-                world.longest_standing_ms,
-                le(case.longest_standing_ms),
-                "{} seed {seed}: the group stood still",
+                world.longest_stall_ms,
+                le(case.longest_stall_ms),
+                "{} seed {seed}: the group stalled",
                 case.name
             );
             expect_that!(world.step, gt(RUN_MS / 50 / 4), "{} seed {seed}", case.name);
@@ -156,15 +153,11 @@
     }
 }
 
-/// Symptom: a group is told to hold passes and to switch maps that are another group's.
-///
-/// Events: a service has two groups, whose ranks have the same numbers; the leader of one hears the
-/// ranks of the other.
-///
-/// Cause: taking a rank's number for its name.
+/// Guards against orders built from the statuses of another group. A service may have two groups
+/// whose ranks have the same numbers, and the leader of one may receive statuses of the other.
 #[gtest]
-fn another_groups_ranks_are_not_heard() {
-    let mut world = World::new(1, Trouble::default());
+fn statuses_of_another_group_are_ignored() {
+    let mut world = World::new(1, Faults::default());
     let mut leader = Leader::new("another group", 0, 1, 1);
     for _ in 0..20 {
         world.run(100);
@@ -176,19 +169,16 @@
     expect_that!(leader.known_map(), none());
 }
 
-/// Symptom: a group stands for some tens of milliseconds in every change of its map.
-///
-/// Events: nothing fails; a rank holds the very next pass, and all ranks are armed after that pass should
-/// have begun.
-///
-/// Cause: arming takes longer than what is left of the pass that runs.
+/// Guards against a stall of some tens of milliseconds in every change. It happens when a rank
+/// holds the very next pass, because arming all ranks takes longer than the rest of the running
+/// pass.
 #[gtest]
-fn a_change_that_meets_no_trouble_holds_nothing_up() {
+fn a_change_without_faults_does_not_stall_the_group() {
     for seed in 0..10 {
-        let mut world = World::new(seed, Trouble::default());
+        let mut world = World::new(seed, Faults::default());
         world.run(RUN_MS);
         expect_that!(world.switches, ge(5), "seed {seed}");
-        expect_that!(world.longest_standing_ms, le(LONGEST_WITHOUT_TROUBLE_MS), "seed {seed}");
-        expect_that!(world.leaders_begun(), eq(1), "seed {seed}");
+        expect_that!(world.longest_stall_ms, le(MAX_STALL_WITHOUT_FAULTS_MS), "seed {seed}");
+        expect_that!(world.leader_count(), eq(1), "seed {seed}");
     }
 }
--- a/crates/core/tests/map_demand.rs
+++ b/crates/core/tests/map_demand.rs
@@ -1,4 +1,4 @@
-//! What the leader of a group takes for the present demand.
+//! Tests of the demand estimate of a leader.
 
 use hickorycross_core::direct::BootMs;
 use hickorycross_core::map_change::{CountsSample, DemandEstimator};
@@ -6,22 +6,23 @@
 use rand_chacha::ChaCha8Rng;
 
 const LAYERS: usize = 8;
-const PAUSE_MS: u64 = 100;
-/// Experts in demand; the others are chosen by one request in ten.
-const LIKED: usize = 12;
+const SAMPLE_INTERVAL_MS: u64 = 100;
+/// Number of popular experts; one choice in ten is of any expert.
+const POPULAR: usize = 12;
 
-/// A group and when its demand shifts.
+/// A group and the time at which its demand shifts.
 struct Case {
     name: &'static str,
     ranks: u16,
     experts: usize,
-    /// Requests that a rank reads between two samples, each of which chooses a few experts often.
+    /// Requests that a rank processes between two samples, each of which chooses a few experts
+    /// often.
     requests: usize,
     shifts_at_ms: Option<u64>,
-    /// Shifts that may be seen.
-    seen: std::ops::RangeInclusive<usize>,
-    /// Least share of the estimate at the end that is of the last demand.
-    least_share: f64,
+    /// Accepted number of detected shifts.
+    detected_shifts: std::ops::RangeInclusive<usize>,
+    /// Least share of the final estimate that must belong to the latest demand.
+    min_share: f64,
 }
 
 const CASES: &[Case] = &[
@@ -31,8 +32,8 @@
         experts: 72,
         requests: 3,
         shifts_at_ms: None,
-        seen: 0..=0,
-        least_share: 0.85,
+        detected_shifts: 0..=0,
+        min_share: 0.85,
     },
     Case {
         name: "12 ranks, 300 ms after a shift",
@@ -40,8 +41,8 @@
         experts: 72,
         requests: 3,
         shifts_at_ms: Some(3_000),
-        seen: 1..=2,
-        least_share: 0.75,
+        detected_shifts: 1..=2,
+        min_share: 0.75,
     },
     Case {
         name: "63 ranks, steady",
@@ -49,8 +50,8 @@
         experts: 252,
         requests: 1,
         shifts_at_ms: None,
-        seen: 0..=0,
-        least_share: 0.85,
+        detected_shifts: 0..=0,
+        min_share: 0.85,
     },
     Case {
         name: "63 ranks, 300 ms after a shift",
@@ -58,53 +59,59 @@
         experts: 252,
         requests: 1,
         shifts_at_ms: Some(3_000),
-        seen: 1..=2,
-        least_share: 0.75,
+        detected_shifts: 1..=2,
+        min_share: 0.75,
     },
 ];
 
 const END_MS: u64 = 3_300;
 
-// Symptom: each shift of demand is followed by two changes of the map, of which the first brings
-// little; streams pause while the group is uneven for twice as long.
-// Sequence: demand shifts at once; the leader decides 300 ms later, from an average over 200 ms
-// that is one third of the time before; the copies take half a second; it decides again.
-// Cause: an average forgets slowly what a shift makes worthless at once.
+// Guards against two changes of the map after each shift of demand, the first of which gains little
+// while streams pause for twice as long. It happens when the estimate averages over a fixed time
+// and still includes a third of the demand before the shift.
 #[test]
-fn the_time_before_a_shift_does_not_count() {
+fn samples_from_before_a_shift_are_dropped() {
     for case in CASES {
         let mut random = ChaCha8Rng::seed_from_u64(7);
         let mut demand = DemandEstimator::default();
-        let (mut seen, mut liked) = (0, 0);
-        for at_ms in (PAUSE_MS..=END_MS).step_by(PAUSE_MS as usize) {
-            liked = usize::from(case.shifts_at_ms.is_some_and(|shift_ms| at_ms > shift_ms));
+        let (mut detected_shifts, mut popular_set) = (0, 0);
+        for at_ms in (SAMPLE_INTERVAL_MS..=END_MS).step_by(SAMPLE_INTERVAL_MS as usize) {
+            popular_set = usize::from(case.shifts_at_ms.is_some_and(|shift_ms| at_ms > shift_ms));
             for rank in 0..case.ranks {
-                let sample = CountsSample::of(&choices(case, liked, &mut random));
+                let sample = CountsSample::of(&choices(case, popular_set, &mut random));
                 demand.add(BootMs(at_ms), rank, case.experts, &sample);
             }
-            seen += usize::from(demand.drop_outdated(BootMs(at_ms)));
+            detected_shifts += usize::from(demand.drop_outdated(BootMs(at_ms)));
         }
-        assert!(case.seen.contains(&seen), "{}: {seen} shifts seen", case.name);
-        let share = share_of(case, liked, &demand);
-        assert!(share >= case.least_share, "{}: {share} is of the last demand", case.name);
+        assert!(
+            case.detected_shifts.contains(&detected_shifts),
+            "{}: {detected_shifts} shifts detected",
+            case.name
+        );
+        let share = share_of(case, popular_set, &demand);
+        assert!(
+            share >= case.min_share,
+            "{}: {share} of the estimate is the last demand",
+            case.name
+        );
     }
 }
 
-/// The experts that are liked: the first ones of each layer, or the last ones.
-fn is_liked(case: &Case, liked: usize, expert: usize) -> bool {
-    if liked == 0 { expert < LIKED } else { expert >= case.experts - LIKED }
+/// Returns whether an expert is popular: the first ones of each layer, or the last ones.
+fn is_popular(case: &Case, popular_set: usize, expert: usize) -> bool {
+    if popular_set == 0 { expert < POPULAR } else { expert >= case.experts - POPULAR }
 }
 
-fn choices(case: &Case, liked: usize, random: &mut ChaCha8Rng) -> Vec<u32> {
+fn choices(case: &Case, popular_set: usize, random: &mut ChaCha8Rng) -> Vec<u32> {
     let mut choices = vec![0; LAYERS * case.experts];
     for layer in 0..LAYERS {
         for _ in 0..case.requests * 8 {
             let expert = if random.random_bool(0.1) {
                 random.random_range(0..case.experts)
-            } else if liked == 0 {
-                random.random_range(0..LIKED)
+            } else if popular_set == 0 {
+                random.random_range(0..POPULAR)
             } else {
-                random.random_range(case.experts - LIKED..case.experts)
+                random.random_range(case.experts - POPULAR..case.experts)
             };
             choices[layer * case.experts + expert] += random.random_range(50..150);
         }
@@ -112,14 +119,16 @@
     choices
 }
 
-fn share_of(case: &Case, liked: usize, demand: &DemandEstimator) -> f64 {
-    let of_liked = demand.loads().iter().flat_map(|loads| loads.iter().enumerate());
-    let sum: f64 =
-        of_liked.filter(|(expert, _)| is_liked(case, liked, *expert)).map(|(_, load)| load).sum();
+fn share_of(case: &Case, popular_set: usize, demand: &DemandEstimator) -> f64 {
+    let by_expert = demand.loads().iter().flat_map(|loads| loads.iter().enumerate());
+    let sum: f64 = by_expert
+        .filter(|(expert, _)| is_popular(case, popular_set, *expert))
+        .map(|(_, load)| load)
+        .sum();
     sum / demand.total_choices()
 }
 
-/// Choices, and what may be told of them.
+/// Choices and the sample expected for them.
 struct RoundingCase {
     name: &'static str,
     choices: Vec<u32>,
@@ -128,7 +137,7 @@
 }
 
 #[test]
-fn choices_are_told_in_small_numbers() {
+fn choices_are_scaled_to_small_counts() {
     let cases = [
         RoundingCase { name: "none", choices: vec![], unit: 1, counts: vec![] },
         RoundingCase { name: "idle", choices: vec![0; 3], unit: 1, counts: vec![0; 3] },
@@ -140,7 +149,7 @@
             counts: vec![11, 0, 1],
         },
         RoundingCase {
-            name: "as many as there can be",
+            name: "the largest count",
             choices: vec![u32::MAX, 0],
             unit: 536_870_911,
             counts: vec![8, 0],
--- a/crates/core/tests/map_hold_clock.rs
+++ b/crates/core/tests/map_hold_clock.rs
@@ -1,4 +1,4 @@
-//! What an agent says of a pass that its rank holds.
+//! Tests of the durations that an agent reports for a held pass.
 
 use googletest::prelude::*;
 use hickorycross_core::direct::BootMs;
@@ -6,35 +6,35 @@
 
 struct Case {
     name: &'static str,
-    /// When the rank was looked at, the last pass begun and the one held.
-    looks: &'static [(u64, u64, Option<u64>)],
+    /// Time of each report, the last pass that has begun and the held pass.
+    reports: &'static [(u64, u64, Option<u64>)],
     events: &'static [HoldEvent],
 }
 
-// Guards against a group that stands without a line that says so.
+// Guards against a stalled group that leaves no trace in the log.
 #[gtest]
-fn a_hold_is_told_with_its_length() {
+fn the_end_of_a_hold_reports_its_duration() {
     let cases = [
-        Case { name: "nothing held", looks: &[(0, 1, None), (20, 2, None)], events: &[] },
+        Case { name: "nothing held", reports: &[(0, 1, None), (20, 2, None)], events: &[] },
         Case {
-            name: "let go before the pass",
-            looks: &[(0, 5, None), (20, 5, Some(7)), (60, 5, Some(7)), (80, 6, None)],
+            name: "released before the pass",
+            reports: &[(0, 5, None), (20, 5, Some(7)), (60, 5, Some(7)), (80, 6, None)],
             events: &[
                 HoldEvent::Begun { step: 7 },
                 HoldEvent::Ended { step: 7, held_ms: 60, last_pass_ms: 0 },
             ],
         },
         Case {
-            name: "the group stands",
-            looks: &[(0, 5, Some(7)), (100, 6, Some(7)), (900, 6, Some(7)), (1_000, 7, None)],
+            name: "the group stalls",
+            reports: &[(0, 5, Some(7)), (100, 6, Some(7)), (900, 6, Some(7)), (1_000, 7, None)],
             events: &[
                 HoldEvent::Begun { step: 7 },
                 HoldEvent::Ended { step: 7, held_ms: 1_000, last_pass_ms: 900 },
             ],
         },
         Case {
-            name: "one hold after the other",
-            looks: &[(0, 5, Some(6)), (50, 6, Some(8)), (70, 6, Some(8)), (90, 7, None)],
+            name: "consecutive holds",
+            reports: &[(0, 5, Some(6)), (50, 6, Some(8)), (70, 6, Some(8)), (90, 7, None)],
             events: &[
                 HoldEvent::Begun { step: 6 },
                 HoldEvent::Ended { step: 6, held_ms: 50, last_pass_ms: 50 },
@@ -45,8 +45,8 @@
     ];
     for case in cases {
         let mut clock = HoldClock::default();
-        let look = |&(at_ms, step, held)| clock.note(BootMs(at_ms), step, held);
-        let events: Vec<HoldEvent> = case.looks.iter().filter_map(look).collect();
+        let observe = |&(at_ms, step, held)| clock.note(BootMs(at_ms), step, held);
+        let events: Vec<HoldEvent> = case.reports.iter().filter_map(observe).collect();
         expect_that!(events, eq(case.events), "{}", case.name);
     }
 }
--- a/crates/core/tests/map_link_pace.rs
+++ b/crates/core/tests/map_link_pace.rs
@@ -1,56 +1,54 @@
-//! How long messages go out over a small link.
+//! Tests of the rate limit for long messages on a small link.
 
 use googletest::prelude::*;
 use hickorycross_core::direct::BootMs;
 use hickorycross_core::map_change::LinkPace;
 
-/// What a link of 6 Mbit/s carries in a millisecond.
+/// Bytes per millisecond that a link of 6 Mbit/s carries.
 const LINK_BYTES_PER_MS: u64 = 750;
 
-/// What it holds back before it loses something, with room for other messages.
-const MOST_HELD_BYTES: u64 = 40_000;
+/// Bytes that the link queues before it drops any, less some room for other messages.
+const MAX_QUEUED_BYTES: u64 = 40_000;
 
 struct Case {
     name: &'static str,
     messages: u64,
     bytes: u64,
-    /// Time in which all are to have left.
-    most_ms: u64,
+    /// Time within which all messages must be sent.
+    max_ms: u64,
 }
 
 const CASES: &[Case] = &[
-    Case { name: "changes of a map to 11 agents", messages: 11, bytes: 2_500, most_ms: 10 },
-    Case { name: "a whole map to 11 agents", messages: 11, bytes: 6_700, most_ms: 120 },
-    Case { name: "a whole map to 23 agents", messages: 23, bytes: 20_000, most_ms: 900 },
-    Case { name: "longer than may wait", messages: 3, bytes: 60_000, most_ms: 300 },
+    Case { name: "changes of a map to 11 agents", messages: 11, bytes: 2_500, max_ms: 10 },
+    Case { name: "a complete map to 11 agents", messages: 11, bytes: 6_700, max_ms: 120 },
+    Case { name: "a complete map to 23 agents", messages: 23, bytes: 20_000, max_ms: 900 },
+    Case { name: "longer than the backlog limit", messages: 3, bytes: 60_000, max_ms: 300 },
 ];
 
-/// Symptom: a new leader's first change takes 2.8 s, others 0.3 s.
-///
-/// Events: it tells a whole map of 6.7 KB to 11 agents, each of which passes it on to 11 others, 74 KB in one
-/// moment; the link holds 45 KB back and loses the rest, and 95 of 129 agents are told one by one later.
-///
-/// Cause: messages were sent as fast as they were made.
+/// Guards against a first change of a new leader that takes 2.8 s instead of 0.3 s. It happens when
+/// messages are sent as fast as they are created: the leader sends a complete map of 6.7 KB to 11
+/// agents, each of which relays it to 11 others. That is 74 KB at once on a link that queues 45 KB
+/// and drops the rest, and 95 of 129 agents receive their map one by one later.
 #[gtest]
-fn a_link_holds_what_is_sent_in_a_row() {
+fn a_burst_stays_within_the_queue_of_the_link() {
     for case in CASES {
         let mut pace = LinkPace::default();
-        let (mut now_ms, mut held, mut left_ms) = (10_000, 0_u64, 0);
+        let (mut now_ms, mut queued, mut elapsed_ms) = (10_000, 0_u64, 0);
         for _ in 0..case.messages {
             let wait_ms = pace.wait_ms(BootMs(now_ms), case.bytes);
             now_ms += wait_ms;
-            left_ms += wait_ms;
-            held = held.saturating_sub(wait_ms * LINK_BYTES_PER_MS) + case.bytes;
+            elapsed_ms += wait_ms;
+            queued = queued.saturating_sub(wait_ms * LINK_BYTES_PER_MS) + case.bytes;
             pace.note_sent(BootMs(now_ms), case.bytes);
-            expect_that!(held, le(MOST_HELD_BYTES.max(case.bytes)), "{}", case.name);
+            expect_that!(queued, le(MAX_QUEUED_BYTES.max(case.bytes)), "{}", case.name);
         }
-        expect_that!(left_ms, le(case.most_ms), "{}", case.name);
+        expect_that!(elapsed_ms, le(case.max_ms), "{}", case.name);
     }
 }
 
-/// After a pause a link is free again.
+/// After a pause the backlog is gone.
 #[gtest]
-fn a_pause_frees_the_link() {
+fn a_pause_drains_the_backlog() {
     let mut pace = LinkPace::default();
     pace.note_sent(BootMs(10_000), 60_000);
     expect_that!(pace.wait_ms(BootMs(10_000), 6_000), gt(50));
--- a/crates/core/tests/map_orders.rs
+++ b/crates/core/tests/map_orders.rs
@@ -1,4 +1,4 @@
-//! When a leader decides upon a new map, and how it tells its ranks.
+//! Tests of when a leader decides for a new map and how it sends the orders.
 
 #[path = "support/rank_status.rs"]
 mod rank_status;
@@ -15,7 +15,7 @@
 const RANKS: u16 = 16;
 const SLOTS: u16 = 5;
 
-/// Which experts of the one layer are in demand.
+/// The experts of the only layer that are in demand.
 struct Case {
     name: &'static str,
     hot: &'static [usize],
@@ -24,7 +24,7 @@
 const CASES: &[Case] = &[
     Case { name: "one of rank 0", hot: &[0] },
     Case { name: "all of rank 15", hot: &[15, 31, 47, 63] },
-    Case { name: "of every second rank", hot: &[1, 3, 5, 7, 9, 11, 13] },
+    Case { name: "some of every second rank", hot: &[1, 3, 5, 7, 9, 11, 13] },
 ];
 
 fn dimensions() -> GroupDimensions {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Experts in turn, as a group holds them first.
+/// Returns the experts of a rank in the initial map, which assigns them in rotation.
 fn held(rank: u16) -> Vec<u16> {
     (0..4).map(|row| row * RANKS + rank).collect()
 }
@@ -58,7 +58,8 @@
     }
 }
 
-/// How much each rank has to copy, in the order in which ranks are told.
+/// Returns the number of experts that each rank has to copy, in the order in which ranks receive
+/// their orders.
 fn copies_in_order(case: &Case) -> Vec<usize> {
     let mut leader = Leader::new("g", 0, 1 << 20, 1);
     let mut actions = Vec::new();
@@ -68,7 +69,7 @@
     }
     let layer = LayerPlacement { experts_of_rank: (0..RANKS).map(held).collect() };
     let present = ExpertMap { layers: vec![layer] };
-    let told = actions.into_iter().filter_map(|action| match action {
+    let sent = actions.into_iter().filter_map(|action| match action {
         LeaderAction::Send { rank, order, .. } => match order.kind {
             OrderKind::Prepare { map, .. } => Some((rank, map)),
             _ => None,
@@ -78,14 +79,14 @@
     let copies = |(rank, map): (u16, Arc<ExpertMap>)| {
         present.loads_towards(&map).iter().filter(|load| load.rank == rank).count()
     };
-    told.take(usize::from(RANKS)).map(copies).collect()
+    sent.take(usize::from(RANKS)).map(copies).collect()
 }
 
-// Symptom: a change of a large group takes half a second longer than its copies.
-// Sequence: the map goes out to one rank after the other; the rank with most to copy comes last.
-// Cause: ranks were told by their numbers.
+// Guards against a change of a large group that takes half a second longer than its copies. It
+// happens when the map is sent to one rank after the other by rank number and the rank with most to
+// copy comes last.
 #[test]
-fn ranks_with_most_to_copy_are_told_first() {
+fn ranks_with_most_to_copy_receive_their_orders_first() {
     for case in CASES {
         let copies = copies_in_order(case);
         assert_eq!(copies.len(), usize::from(RANKS), "{}", case.name);
@@ -94,8 +95,8 @@
     }
 }
 
-/// A rank can be told to prepare what it holds without being told the map: the others' rows need only
-/// hold all further experts, within their slots.
+/// A rank can be ordered to prepare the map that it uses without receiving a complete map: the rows
+/// of the other ranks only have to hold all other experts, within their slots.
 #[test]
 fn a_map_around_a_rank_holds_every_expert() {
     for own in [0, 7, RANKS - 1] {
@@ -111,13 +112,14 @@
     }
 }
 
-const PAUSE_MS: u64 = 100;
-/// A shift in the middle between two samples, so that one sample is of both demands.
+const SAMPLE_INTERVAL_MS: u64 = 100;
+/// Time of the shift, halfway between two samples, so that one sample covers both demands.
 const SHIFT_MS: u64 = 2_050;
-/// Two samples after the one that is of both demands, and a look.
-const DECIDED_MS: u64 = SHIFT_MS + 300;
+/// Two samples after the mixed one, and an evaluation.
+const DECISION_DEADLINE_MS: u64 = SHIFT_MS + 300;
 
-/// What is in demand at a moment: even at first, so that nothing is changed, then one expert.
+/// Returns the choices in a time span: balanced at first, so that the map is not changed, then
+/// dominated by one expert.
 fn mixed(from_ms: u64, until_ms: u64) -> Vec<u32> {
     let (even, hot) = (choices_of(&[]), choices_of(&[5]));
     let after_ms = until_ms.saturating_sub(from_ms.max(SHIFT_MS));
@@ -128,17 +130,17 @@
     even.iter().zip(&hot).map(mix).collect()
 }
 
-// Symptom: a group of 63 ranks is uneven for 1.0 s after each shift, 0.45 s of it until a decision.
-// Sequence: demand shifts; each of three looks 100 ms apart finds that the newest samples differ.
-// Cause: a decision waited for a look that finds nothing, though the second look had already
-// dropped all samples that were older than the shift.
+// Guards against a decision that takes 0.45 s after a shift in a group of 63 ranks. It happens when
+// the decision waits for an evaluation that detects no shift: each of three evaluations 100 ms
+// apart finds that the newest samples differ, although the second has already dropped all samples
+// from before the shift.
 #[test]
-fn a_shift_is_decided_upon_without_a_further_look() {
+fn a_shift_is_decided_without_another_evaluation() {
     let mut leader = Leader::new("g", 0, 1 << 20, 1);
     let mut decided = None;
-    for now_ms in (PAUSE_MS..=DECIDED_MS).step_by(10) {
-        if now_ms % PAUSE_MS == 0 {
-            let choices = mixed(now_ms - PAUSE_MS, now_ms);
+    for now_ms in (SAMPLE_INTERVAL_MS..=DECISION_DEADLINE_MS).step_by(10) {
+        if now_ms % SAMPLE_INTERVAL_MS == 0 {
+            let choices = mixed(now_ms - SAMPLE_INTERVAL_MS, now_ms);
             for rank in 0..RANKS {
                 leader.on_status(BootMs(now_ms), status_with(rank, &choices), &dimensions());
             }
@@ -159,11 +161,11 @@
     assert!(bottleneck < 1.3, "{bottleneck} of the mean for the demand after the shift");
 }
 
-// Symptom: a change that takes half a second takes 1.3 s every now and then.
-// Sequence: the link is full of maps; one is lost; all other ranks wait for that rank's copies.
-// Cause: an order with a map was given again after a whole second only.
+// Guards against a change that occasionally takes 1.3 s instead of half a second. It happens when
+// one map is lost on a full link and is resent only after a second, while all other ranks wait for
+// the copies of that rank.
 #[test]
-fn a_lost_map_is_sent_again_soon() {
+fn a_lost_map_is_resent_soon() {
     let mut leader = Leader::new("g", 0, 1 << 20, 1);
     let mut sent = IndexMap::<u16, Vec<u64>>::new();
     for now_ms in (0..1_000).step_by(10) {
@@ -179,15 +181,15 @@
             }
         }
     }
-    let lost = sent.swap_remove(&3).expect("rank 3 was told");
-    assert!(lost.len() >= 3, "told at {lost:?} ms");
-    assert!(sent.values().all(|times| times.len() == 1), "answered, but told again: {sent:?}");
+    let lost = sent.swap_remove(&3).expect("rank 3 received an order");
+    assert!(lost.len() >= 3, "sent at {lost:?} ms");
+    assert!(sent.values().all(|times| times.len() == 1), "answered, but resent: {sent:?}");
 }
 
 struct Hold {
     name: &'static str,
     pass_ms: u64,
-    /// How many passes after the one that runs is held.
+    /// Distance from the running pass to the held one.
     steps: u8,
 }
 
@@ -198,13 +200,11 @@
     Hold { name: "very long passes", pass_ms: 400, steps: 1 },
 ];
 
-/// Symptom: a group stands in each change, or stays uneven for a long pass more than it need.
-///
-/// Events: passes are shorter than arming takes, or longer.
-///
-/// Cause: one distance between the order to hold and the held pass for both.
+/// Guards against a group that stalls in each change, or stays uneven for a long pass more than
+/// needed. It happens when the distance to the held pass is the same whether passes are shorter or
+/// longer than arming takes.
 #[test]
-fn what_is_held_depends_on_how_long_passes_are() {
+fn the_held_pass_depends_on_the_pass_duration() {
     for case in HOLDS {
         let mut leader = Leader::new("g", 0, 1 << 20, 1);
         let mut prepared = None;
@@ -220,7 +220,7 @@
             for action in leader.tick(now, &dimensions()) {
                 let LeaderAction::Send { rank, number, order, .. } = action else { continue };
                 match order.kind {
-                    // A moment for the copies, in which passes are seen.
+                    // The delay lets the leader measure passes meanwhile.
                     OrderKind::Prepare { version, .. } if now_ms >= 1_000 => {
                         prepared = Some(version);
                         leader.on_order_outcome(rank, number, OrderOutcome::Done);
--- a/crates/core/tests/map_polls.rs
+++ b/crates/core/tests/map_polls.rs
@@ -1,4 +1,4 @@
-//! Whom a leader asks, and what an agent that collects for it tells.
+//! Tests of which agents a leader polls and what a collecting agent sends.
 
 #[path = "support/rank_status.rs"]
 mod rank_status;
@@ -12,20 +12,20 @@
 use rank_status::open_rank;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Bytes that a count takes on its way, deflated: 4,128 counts take 1.9 KB.
+/// Compressed size of a count in bytes: 4,128 counts take 1.9 KB.
 const BYTES_PER_COUNT: f64 = 0.46;
 
-/// Half of the smallest link in use, 6 Mbit/s. The rest is for orders and their ends.
-const MOST_BYTES_PER_MS: f64 = 375.0;
+/// Half of the smallest link in use, 6 Mbit/s. The rest is for orders and their outcomes.
+const MAX_BYTES_PER_MS: f64 = 375.0;
 
-/// Time in which every rank is to be heard once.
-const MOST_ROUND_MS: u64 = 200;
+/// Time within which every rank must be polled once.
+const MAX_ROUND_MS: u64 = 200;
 
-/// Pause between two looks of a leader.
+/// Interval between two ticks of a leader.
 const TICK_MS: u64 = 20;
 
 const BEGIN_MS: u64 = 10_000;
-/// Long enough that the first round, in which all are asked at once, does not count.
+/// Long enough that the first round, which polls all sections at once, has little weight.
 const SPAN_MS: u64 = 5_000;
 
 struct Case {
@@ -53,79 +53,74 @@
     (0..case.machines).map(machine).collect()
 }
 
-/// What a leader asks in [`SPAN_MS`].
-struct Asked {
-    /// When each machine was asked.
+/// Polls of a leader in [`SPAN_MS`].
+struct PollLog {
+    /// Times at which each instance was polled.
     times_ms: IndexMap<IpAddr, Vec<u64>>,
-    /// Answers that the leader hears.
+    /// Number of answers that the leader receives.
     answers: usize,
     collectors: IndexSet<IpAddr>,
 }
 
-fn ask(case: &Case) -> Asked {
+fn poll(case: &Case) -> PollLog {
     let machines = machines(case);
     let domains: IndexMap<IpAddr, &String> = machines.iter().map(|it| (it.1, &it.0)).collect();
     let sections = Sections::of(&machines, case.counts_per_rank);
     let mut polls = PollSchedule::default();
-    let mut asked = Asked { times_ms: IndexMap::new(), answers: 0, collectors: IndexSet::new() };
+    let mut log = PollLog { times_ms: IndexMap::new(), answers: 0, collectors: IndexSet::new() };
     for now_ms in (BEGIN_MS..BEGIN_MS + SPAN_MS).step_by(TICK_MS as usize) {
         for it in polls.due(BootMs(now_ms), &sections, false) {
-            asked.answers += 1;
-            asked.collectors.insert(it.collector);
+            log.answers += 1;
+            log.collectors.insert(it.collector);
             for machine in it.others.iter().chain([&it.collector]) {
                 assert_eq!(domains[machine], domains[&it.collector], "{}", case.name);
-                asked.times_ms.entry(*machine).or_default().push(now_ms);
+                log.times_ms.entry(*machine).or_default().push(now_ms);
             }
         }
     }
-    asked
+    log
 }
 
-/// Symptom: a group of 129 ranks changes its leader every second, and its map never.
-///
-/// Events: 129 agents tell 4,128 counts each every 0.26 s; the leader's link, which carries 750 KB a
-/// second, is offered 930 and loses what is over, also the statuses that a change waits for.
-///
-/// Cause: the leader heard every agent itself, whatever its link takes.
+/// Guards against a group of 129 ranks that replaces its leader every second and never changes its
+/// map. It happens when the leader polls every agent itself: 129 agents send 4,128 counts each
+/// every 0.26 s, 930 KB/s on a link that carries 750 KB/s, and statuses that a change waits for are
+/// lost.
 #[gtest]
-fn a_leaders_link_is_not_filled_by_statuses() {
+fn statuses_do_not_fill_the_link_of_the_leader() {
     for case in CASES {
-        let asked = ask(case);
-        let bytes = asked.answers as f64 * case.counts_per_rank as f64 * BYTES_PER_COUNT;
+        let log = poll(case);
+        let bytes = log.answers as f64 * case.counts_per_rank as f64 * BYTES_PER_COUNT;
         expect_that!(
             bytes / SPAN_MS as f64,
-            le(MOST_BYTES_PER_MS),
-            "{}: bytes a millisecond",
+            le(MAX_BYTES_PER_MS),
+            "{}: bytes per millisecond",
             case.name
         );
     }
 }
 
-/// A leader decides upon statuses of at most a second, and a shift of demand is to be seen soon.
+/// A leader uses statuses of at most one second, and a shift of demand must be detected soon.
 #[gtest]
-fn every_rank_is_heard_often() {
+fn every_rank_is_polled_often() {
     for case in CASES {
-        let asked = ask(case);
-        expect_that!(asked.times_ms.len(), eq(usize::from(case.machines)), "{}", case.name);
-        for (machine, times_ms) in &asked.times_ms {
+        let log = poll(case);
+        expect_that!(log.times_ms.len(), eq(usize::from(case.machines)), "{}", case.name);
+        for (machine, times_ms) in &log.times_ms {
             let longest = times_ms.windows(2).map(|pair| pair[1] - pair[0]).max();
-            let within = some(le(MOST_ROUND_MS + TICK_MS));
+            let within = some(le(MAX_ROUND_MS + TICK_MS));
             expect_that!(longest, within, "{} {machine}", case.name);
         }
     }
 }
 
-/// Symptom: a section of a group is not heard while one of its machines is frozen.
-///
-/// Events: the agent that collects for its section freezes for some seconds.
-///
-/// Cause: the same agent was asked in each round.
+/// Guards against a section of a group that goes unheard while one of its instances is frozen. It
+/// happens when the same agent collects in each round.
 #[gtest]
-fn agents_collect_by_turns() {
+fn agents_take_turns_as_collector() {
     let case = &CASES[3];
     let sections = Sections::of(&machines(case), case.counts_per_rank);
-    let asked = ask(case);
-    expect_that!(asked.collectors.len(), ge(sections.len() * 5));
+    let log = poll(case);
+    expect_that!(log.collectors.len(), ge(sections.len() * 5));
 }
 
 fn status(rank: u16, counts: &[u32]) -> RankStatus {
@@ -139,16 +134,17 @@
 struct CollectionCase {
     name: &'static str,
     counts: &'static [&'static [u32]],
-    /// The sums, in choices.
+    /// Expected sums, in choices.
     sums: &'static [u32],
     is_complete: bool,
 }
 
-/// An agent tells what its section chose together; one that has just started tells no choices.
+/// A collecting agent sends the sum of the choices of its section. An agent that has just started
+/// sends no choices.
 #[gtest]
 fn counts_of_a_section_are_summed() {
     let cases = [
-        CollectionCase { name: "nobody", counts: &[], sums: &[], is_complete: false },
+        CollectionCase { name: "no status", counts: &[], sums: &[], is_complete: false },
         CollectionCase {
             name: "two of three",
             counts: &[&[1, 2], &[3, 4]],
@@ -162,7 +158,7 @@
             is_complete: true,
         },
         CollectionCase {
-            name: "the first has just started",
+            name: "the first agent has just started",
             counts: &[&[], &[3, 4], &[5, 6]],
             sums: &[80, 100],
             is_complete: true,
@@ -184,23 +180,21 @@
         let CountsSample { unit, counts } = collected.counts;
         expect_that!(counts.len(), eq(case.sums.len()), "{}", case.name);
         for (count, sum) in counts.iter().zip(case.sums) {
-            // Rounded to half of the unit, which is a quarter of the mean.
+            // Rounding changes a sum by at most half of the unit, which is a quarter of the mean.
             expect_that!((unit * count).abs_diff(*sum), le(unit.div_ceil(2)), "{}", case.name);
         }
     }
 }
 
-/// Symptom: a leader waits for a map that all ranks have, or takes a pass that is over for the present one.
-///
-/// Events: an agent has heard its section; its machine freezes for 4 s before the leader is told.
-///
-/// Cause: what ranks had said before the freeze was told as news after it.
+/// Guards against a leader that waits for a map that all ranks have, or takes an old pass for the
+/// current one. It happens when an agent that collected its section freezes for 4 s and then sends
+/// the statuses from before the freeze.
 #[gtest]
-fn what_was_collected_before_a_freeze_is_not_told() {
-    for (age_ms, is_told) in [(0, true), (60, true), (4_000, false)] {
+fn statuses_collected_before_a_freeze_are_discarded() {
+    for (age_ms, is_sent) in [(0, true), (60, true), (4_000, false)] {
         let mut collection = StatusCollection::new(BootMs(BEGIN_MS), 7, 2);
         collection.add(agent(0), status(0, &[1, 2]));
         let collected = collection.finish(BootMs(BEGIN_MS + age_ms));
-        expect_that!(collected.is_some(), eq(is_told), "after {age_ms} ms");
+        expect_that!(collected.is_some(), eq(is_sent), "after {age_ms} ms");
     }
 }
--- a/crates/core/tests/map_roster.rs
+++ b/crates/core/tests/map_roster.rs
@@ -1,19 +1,19 @@
-//! Which machines an agent that leads a group knows of.
+//! Tests of the instances that the leader of a group knows about.
 
 use googletest::prelude::*;
 use hickorycross_core::direct::{BackendServer, BackendState, BootMs};
 use hickorycross_core::map_change::Roster;
 use std::net::{IpAddr, SocketAddr};
 
-/// Time for which entries of a machine behind a cut are missing: the cut, a heartbeat and a question.
+/// Time for which instances behind a network cut are unlisted: the cut, a heartbeat and a query.
 const CUT_MS: u64 = 10_000;
 
-/// Time after which a backend server that is not listed is gone.
-const LONG_MS: u64 = 60_000;
+/// Time after which an unlisted backend server is no longer known.
+const EXPIRED_MS: u64 = 60_000;
 
 struct Case {
     name: &'static str,
-    /// Last numbers of the machines that are listed, and when.
+    /// Times of the lists, with the last address octets of the listed instances.
     listings: &'static [(u64, &'static [u8])],
     known: &'static [u8],
     listed: usize,
@@ -32,10 +32,10 @@
     }
 }
 
-// Guards against a leader that does not ask a rank whose machine was cut off for some seconds: it could not
-// end a change, and the group stood.
+// Guards against a leader that stops polling a rank whose instance was cut off for some seconds.
+// The leader could then not end a change, and the group would stall.
 #[gtest]
-fn a_machine_that_is_not_listed_for_a_while_is_still_asked() {
+fn an_instance_that_is_briefly_unlisted_stays_known() {
     let cases = [
         Case { name: "all listed", listings: &[(0, &[1, 2])], known: &[1, 2], listed: 2 },
         Case {
@@ -51,13 +51,13 @@
             listed: 3,
         },
         Case {
-            name: "one has long been gone",
-            listings: &[(0, &[1, 2, 3]), (LONG_MS, &[1, 3])],
+            name: "one has been unlisted for long",
+            listings: &[(0, &[1, 2, 3]), (EXPIRED_MS, &[1, 3])],
             known: &[1, 3],
             listed: 2,
         },
         Case {
-            name: "one is replaced on another machine",
+            name: "one is replaced on another instance",
             listings: &[(0, &[1, 2]), (CUT_MS, &[1, 4])],
             known: &[1, 2, 4],
             listed: 2,
--- a/crates/core/tests/map_told.rs
+++ b/crates/core/tests/map_transfer.rs
@@ -1,4 +1,4 @@
-//! How little of a leader's link the maps of a large group take.
+//! Tests of how much of the link of a leader the maps of a large group take.
 
 #[path = "support/rank_status.rs"]
 mod rank_status;
@@ -26,20 +26,20 @@
     spare_slots_per_rank: 2,
 };
 
-/// Pause between two looks of a leader, and between two statuses of a rank.
+/// Interval between two ticks of a leader and between two statuses of a rank.
 const TICK_MS: u64 = 50;
 
-/// Time that a decision takes on a sixth of a core.
+/// Duration of a decision on a sixth of a core.
 const DECISION_MS: u64 = 200;
 
-/// Orders with a map that a link of 6 Mbit/s takes in 0.1 s, half of the time.
-const MOST_AGAIN_IN_100_MS: usize = 8;
+/// Orders with a map that a link of 6 Mbit/s carries in 0.1 s with half of its capacity.
+const MAX_RESENT_IN_100_MS: usize = 8;
 
-/// A rank's word while a quarter of the layers have experts that are in demand.
+/// Returns the status of a rank while a quarter of the layers have popular experts.
 fn status(rank: u16, map: u64, prepared: Option<u64>, step: u64, shift: u16) -> RankStatus {
-    let is_liked = |layer: u16, expert: u16| layer % 4 == shift % 4 && expert % 8 == shift % 8;
+    let is_popular = |layer: u16, expert: u16| layer % 4 == shift % 4 && expert % 8 == shift % 8;
     let choices = (0..LAYERS).flat_map(|layer| {
-        (0..EXPERTS).map(move |it| if is_liked(layer, it) { 9_000 } else { 1_000 })
+        (0..EXPERTS).map(move |it| if is_popular(layer, it) { 9_000 } else { 1_000 })
     });
     let choices: Vec<u32> = choices.collect();
     let held = (0..EXPERTS).filter(|expert| expert % RANKS == rank).collect();
@@ -53,7 +53,8 @@
     }
 }
 
-/// Plays changes of maps by a leader that all agents hear at once; gives the orders to prepare.
+/// Simulates map changes by a leader that receives all statuses at once, and records the orders to
+/// prepare.
 struct Group {
     leader: Leader,
     now_ms: u64,
@@ -68,7 +69,7 @@
         Self { leader, now_ms: 10_000, map: 0, held_step: None, prepares: Vec::new() }
     }
 
-    /// Goes on until the group has another map.
+    /// Runs until the group has another map.
     fn change(&mut self, shift: u16) {
         let before = self.map;
         let mut prepared = None;
@@ -102,7 +103,7 @@
                 self.leader.on_order_outcome(rank, number, OrderOutcome::Done);
             }
         }
-        // The leader sees that all have switched.
+        // The leader observes that all ranks have switched.
         for _ in 0..2 {
             self.now_ms += TICK_MS;
             for rank in 0..RANKS {
@@ -117,18 +118,16 @@
 fn map_of(order: &RankOrder, known: &mut KnownMaps) -> Arc<ExpertMap> {
     match known.resolve(&order.kind) {
         Ok(OrderKind::Prepare { map, .. }) => map,
-        other => panic!("no whole map: {other:?}"),
+        other => panic!("no complete map: {other:?}"),
     }
 }
 
-/// Symptom: preparing a map takes longer from change to change, 0.16 s at first and 0.5 s later.
-///
-/// Events: a map starts in order and deflates well; each change makes it less regular, until it has 6 KB,
-/// which 129 agents are told.
-///
-/// Cause: whole maps were told, though a change moves a tenth of the experts.
+/// Guards against preparation times that grow from change to change, from 0.16 s to 0.5 s. It
+/// happens when complete maps are sent although a change moves a tenth of the experts: the first
+/// map compresses well, and each change makes it less regular until it has 6 KB, which are sent to
+/// 129 agents.
 #[gtest]
-fn maps_after_the_first_are_told_as_changes() {
+fn maps_after_the_first_are_sent_as_changes() {
     let mut group = Group::new();
     for shift in 0..4 {
         group.change(shift);
@@ -140,26 +139,23 @@
     expect_that!(orders.len(), ge(4));
     let mut known = KnownMaps::default();
     for (index, order) in orders.values().enumerate() {
-        let is_whole = matches!(order.kind, OrderKind::Prepare { .. });
-        expect_that!(is_whole, eq(index == 0), "change {index}");
+        let is_complete = matches!(order.kind, OrderKind::Prepare { .. });
+        expect_that!(is_complete, eq(index == 0), "change {index}");
         let map = map_of(order, &mut known);
-        let told = postcard::to_stdvec(&order.kind).expect("serialises").len();
+        let sent = postcard::to_stdvec(&order.kind).expect("serialises").len();
         let whole = postcard::to_stdvec(&*map).expect("serialises").len();
-        let most = if index == 0 { whole + 20 } else { whole / 2 };
-        expect_that!(told, le(most), "change {index}, a whole map has {whole} bytes");
+        let max_len = if index == 0 { whole + 20 } else { whole / 2 };
+        expect_that!(sent, le(max_len), "change {index}, a complete map has {whole} bytes");
     }
 }
 
-/// Symptom: a group has no new map while one of its agents has just started.
-///
-/// Events: the agent is told a change of a map that it was never told of.
-///
-/// Cause: nobody tells it the whole map.
+/// Guards against a group that gets no new map while one of its agents has just started. It happens
+/// when that agent receives a change of a map that it lacks and nobody sends it the complete map.
 #[gtest]
-fn an_agent_that_lacks_a_map_is_told_it_whole() {
+fn an_agent_without_the_base_map_receives_the_complete_map() {
     let mut group = Group::new();
     group.change(0);
-    let mut told = Vec::new();
+    let mut sent = Vec::new();
     let mut number_of_5 = None;
     for _ in 0..100 {
         group.now_ms += TICK_MS;
@@ -171,7 +167,7 @@
         for action in group.leader.tick(now, &DIMENSIONS) {
             let LeaderAction::Send { rank, number, order, .. } = action else { continue };
             if rank == 5 {
-                told.push(order.kind.as_str());
+                sent.push(order.kind.as_str());
                 let is_first = number_of_5.replace(number).is_none();
                 let end = if is_first { OrderOutcome::LacksMap } else { OrderOutcome::Done };
                 group.leader.on_order_outcome(rank, number, end);
@@ -180,20 +176,17 @@
             }
         }
     }
-    expect_that!(told, eq(&vec!["prepare-change", "prepare"]));
+    expect_that!(sent, eq(&vec!["prepare-change", "prepare"]));
 }
 
-/// Symptom: a leader falls silent for 0.7 s right after each decision, and another one begins to lead.
-///
-/// Events: a decision takes 0.2 s; the orders that it gives are due again after 0.3 s, reckoned from
-/// before it; 105 maps go out to agents that have just got theirs, and take the link for 0.7 s.
-///
-/// Cause: orders were reckoned from the moment before the decision, and sent again all at once.
+/// Guards against a leader that goes silent for 0.7 s after each decision and is replaced. It
+/// happens when the resend interval of 0.3 s counts from before a decision that takes 0.2 s, so
+/// that 105 maps are resent at once to agents that have just received them.
 #[gtest]
-fn maps_that_are_sent_again_do_not_fill_the_link() {
+fn resent_maps_do_not_fill_the_link() {
     let mut leader = Leader::new("g", 0, 1 << 20, 1);
     let mut first_ms: Option<u64> = None;
-    let mut again_ms = Vec::new();
+    let mut resent_ms = Vec::new();
     let mut sent: IndexMap<u16, u32> = IndexMap::new();
     for tick in 0..60 {
         let mut now_ms = 10_000 + tick * TICK_MS + first_ms.map_or(0, |_| DECISION_MS);
@@ -210,22 +203,22 @@
             let times = sent.entry(rank).or_default();
             *times += 1;
             if *times > 1 {
-                again_ms.push(now_ms);
+                resent_ms.push(now_ms);
             }
         }
     }
     let first_ms = first_ms.expect("a decision");
-    expect_that!(again_ms.iter().all(|at| *at >= first_ms + 300), eq(true), "{again_ms:?}");
-    expect_that!(again_ms.len(), gt(MOST_AGAIN_IN_100_MS), "nothing was sent again");
-    for at in &again_ms {
-        let within = again_ms.iter().filter(|it| (*at..at + 100).contains(*it)).count();
-        expect_that!(within, le(MOST_AGAIN_IN_100_MS), "from {at} ms on");
+    expect_that!(resent_ms.iter().all(|at| *at >= first_ms + 300), eq(true), "{resent_ms:?}");
+    expect_that!(resent_ms.len(), gt(MAX_RESENT_IN_100_MS), "no order was resent");
+    for at in &resent_ms {
+        let within = resent_ms.iter().filter(|it| (*at..at + 100).contains(*it)).count();
+        expect_that!(within, le(MAX_RESENT_IN_100_MS), "from {at} ms on");
     }
 }
 
-/// A change about a map of another shape is no change.
+/// A change does not apply to a map of another shape.
 #[gtest]
-fn changes_of_other_maps_do_not_apply() {
+fn a_change_does_not_apply_to_a_map_of_another_shape() {
     let map = |layers: usize, ranks: u16| {
         let held = vec![vec![0]; usize::from(ranks)];
         ExpertMap::around(0, ranks, &vec![held[0].clone(); layers], 8)
@@ -236,7 +229,7 @@
     expect_that!(change.apply(&map(2, 1)), none());
 }
 
-/// A map of 3 layers and 7 ranks, with up to 4 experts each.
+/// Generates a map of 3 layers and 7 ranks with up to 4 experts each.
 fn any_map() -> impl Strategy<Value = ExpertMap> {
     let experts = collection::vec(0..20_u16, 0..4);
     let layer = collection::vec(experts, 7).prop_map(|it| LayerPlacement { experts_of_rank: it });
@@ -244,17 +237,17 @@
 }
 
 proptest! {
-    /// Whatever two maps hold, the change between them makes the one of the other, also after its way.
+    /// The change between any two maps turns one into the other, also after serialisation.
     #[test]
-    fn a_change_makes_the_map_that_it_is_told_for(base in any_map(), target in any_map()) {
+    fn a_change_turns_the_base_into_the_target(base in any_map(), target in any_map()) {
         let bytes = postcard::to_stdvec(&MapChange::between(&base, &target)).expect("serialises");
         let change: MapChange = postcard::from_bytes(&bytes).expect("deserialises");
         prop_assert_eq!(change.apply(&base), Some(target));
     }
 
-    /// Bytes from anywhere make no map, or one of the base's shape; nothing panics.
+    /// Arbitrary bytes yield no map or one with the shape of the base, without a panic.
     #[test]
-    fn any_bytes_make_no_other_shape(base in any_map(), bytes in collection::vec(any::<u8>(), 0..80)) {
+    fn arbitrary_bytes_never_change_the_shape(base in any_map(), bytes in collection::vec(any::<u8>(), 0..80)) {
         let change: Result<MapChange, _> = postcard::from_bytes(&bytes);
         if let Some(map) = change.ok().and_then(|change| change.apply(&base)) {
             prop_assert_eq!(map.layers.len(), base.layers.len());
--- a/crates/core/tests/support/rank_status.rs
+++ b/crates/core/tests/support/rank_status.rs
@@ -1,8 +1,9 @@
-//! A rank's word for tests that look at a part of it.
+//! Rank statuses for tests of a single component.
 
 use hickorycross_core::map_change::{CountsSample, RankStatus};
 
-/// The word of a rank of the open group "g", of `ranks` ranks, that is formed and has begun a pass.
+/// Returns the status of a rank of the open group "g" with `ranks` ranks, which has begun its first
+/// pass.
 pub(crate) fn open_rank(rank: u16, ranks: u16) -> RankStatus {
     RankStatus {
         group: "g".to_owned(),
