--- a/crates/core/src/placement/collect.rs
+++ b/crates/core/src/placement/collect.rs
@@ -28,11 +28,12 @@
 
 /// Length in steps of the spans into which an agent sums its engine's windows.
 ///
-/// A span can be longer or shorter by part of a window, since it ends with the window that reaches
-/// a multiple of this number. Every engine of a group ends its windows at the same steps, but
-/// agents read them at different times. If each agent forwarded the latest window that it finds,
-/// windows of different engines would rarely match, and the group would go without a report for
-/// minutes. Span boundaries depend on step numbers only, so the spans of all engines match.
+/// A span ends with the window that reaches a multiple of this number, so its length can differ by
+/// part of a window; the first span and the first one after a gap can be shorter. Every engine of a
+/// group ends its windows at the same steps, but agents read them at different times. If each agent
+/// forwarded the latest window that it finds, windows of different engines would rarely match, and
+/// the group would go without a report for minutes. Span boundaries depend on step numbers only, so
+/// the spans of all engines match.
 pub const SPAN_STEPS: u64 = 200;
 
 /// Sums the windows of one engine into spans with the same boundaries in all agents of a group.
--- a/crates/core/src/placement/cost.rs
+++ b/crates/core/src/placement/cost.rs
@@ -12,7 +12,6 @@
 /// With a factor of 1, a change with a marginal gain would be made and its reverse soon after, so
 /// that the same experts are loaded back and forth.
 const HYSTERESIS: f64 = 1.25;
-/// Milliseconds in a second.
 const MS_PER_S: f64 = 1e3;
 
 /// Converts the gains and costs of changes in one group into steps.
--- a/crates/core/src/placement/weight_loader.rs
+++ b/crates/core/src/placement/weight_loader.rs
@@ -12,7 +12,6 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds in a second.
 const MS_PER_S: u64 = 1_000;
 /// Timeout of a load, as a multiple of the time in which the fair share covers it.
 const TIMEOUT_FACTOR: u64 = 4;
