--- a/crates/core/tests/direct_keys.rs
+++ b/crates/core/tests/direct_keys.rs
@@ -74,9 +74,9 @@
     for case in CASES {
         for first_at_ms in 5_000..5_000 + WATCH_MS + ANSWER_MS {
             let state = watch_store(case, first_at_ms);
-            let revoked_at = BootMs(case.revoked_at_ms + REVOKE_MS);
+            let invalid_from = BootMs(case.revoked_at_ms + REVOKE_MS);
             expect_false!(
-                state.is_fresh(revoked_at, bound_ms),
+                state.is_fresh(invalid_from, bound_ms),
                 "{}, watched from {first_at_ms}",
                 case.name
             );
