--- a/crates/core/src/map_change/change.rs
+++ b/crates/core/src/map_change/change.rs
@@ -47,6 +47,7 @@
 pub(crate) const FENCE_STEP: u64 = 1 << 10;
 
 impl Leader {
+    /// Begins a change to `map` by ordering all ranks to prepare it.
     pub(super) fn begin_change(
         &mut self,
         now: BootMs,
@@ -267,6 +268,7 @@
         arming.own_armed_by = Some(delivered_by);
     }
 
+    /// Waits until the held pass is released and all ranks have switched.
     pub(super) fn advance_releasing(
         &mut self,
         now: BootMs,
@@ -282,7 +284,7 @@
         } else if has_switched {
             // This saves all ranks from reporting their experts before the next change.
             self.current_map = self.last_sent_map.clone().filter(|(sent, _)| *sent == version);
-            self.imbalance_clock.note_even(now);
+            self.imbalance_clock.note_balanced(now);
             self.note("switched", version, epoch, None, actions);
         } else {
             // The holder may have refused, or a late order of an earlier leader may hold another
--- a/crates/core/src/map_change/decide.rs
+++ b/crates/core/src/map_change/decide.rs
@@ -54,10 +54,10 @@
         {
             return;
         }
-        if now < self.decide_at {
+        if now < self.next_decision_at {
             return;
         }
-        self.decide_at = now.after(DECISION_INTERVAL_MS);
+        self.next_decision_at = now.after(DECISION_INTERVAL_MS);
         // Ranks that are all armed for the same switch will complete it without an order. Disarming
         // one of them while no pass is held could make that pass begin with two maps.
         if self.statuses().any(|status| status.armed.is_some()) {
@@ -72,7 +72,7 @@
             Some(SearchResult::Map(map, bottleneck_permille)) => {
                 self.begin_change(now, epoch, map, Some(bottleneck_permille), actions);
             }
-            Some(SearchResult::None) => self.imbalance_clock.note_even(now),
+            Some(SearchResult::None) => self.imbalance_clock.note_balanced(now),
             None => {}
         }
     }
--- a/crates/core/src/map_change/leader.rs
+++ b/crates/core/src/map_change/leader.rs
@@ -37,7 +37,7 @@
 const FIND_HOLD_MS: u64 = 1_000;
 
 /// Number of agents that watch the leader in addition to the agent of the holder.
-const FURTHER_WATCHERS: usize = 2;
+const EXTRA_WATCHERS: usize = 2;
 
 /// An action that the leader requests from its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -94,6 +94,7 @@
     group: String,
     pub(super) own_rank: u16,
     pub(super) fence: u64,
+    /// Lower digits of the map versions of this leader.
     pub(super) salt: u64,
     next_number: u64,
     pub(super) rank_entries: IndexMap<u16, RankEntry>,
@@ -107,7 +108,7 @@
     pub(super) last_sent_map: Option<(u64, Arc<ExpertMap>)>,
     pub(super) phase: Phase,
     pub(super) pass_clock: PassClock,
-    pub(super) decide_at: BootMs,
+    pub(super) next_decision_at: BootMs,
     pub(super) imbalance_clock: ImbalanceClock,
     /// Whether ranks refuse orders with an outdated fencing number.
     pub(super) enforces_fences: bool,
@@ -137,7 +138,7 @@
             last_sent_map: None,
             phase: Phase::Steady,
             pass_clock: PassClock::default(),
-            decide_at: BootMs(0),
+            next_decision_at: BootMs(0),
             imbalance_clock: ImbalanceClock::default(),
             enforces_fences: true,
             order_sends: OrderSends::default(),
@@ -166,7 +167,7 @@
     pub fn watchers(&self) -> Vec<(u8, u16)> {
         let Some(holder) = self.phase.holder() else { return Vec::new() };
         let others =
-            self.other_responsive_ranks().filter(|rank| *rank != holder).take(FURTHER_WATCHERS);
+            self.other_responsive_ranks().filter(|rank| *rank != holder).take(EXTRA_WATCHERS);
         let all = (0..).zip(iter::once(holder).chain(others));
         all.filter(|(_, rank)| *rank != self.own_rank).collect()
     }
@@ -267,12 +268,12 @@
     }
 
     /// Processes the result of an order that an agent reports.
-    pub fn on_order_result(&mut self, rank: u16, number: u64, ended: OrderResult) {
+    pub fn on_order_result(&mut self, rank: u16, number: u64, result: OrderResult) {
         // Other orders are sent several times at once, whether they get lost or not.
         if matches!(self.phase, Phase::Preparing(_)) {
-            self.order_sends.note(ended.sends);
+            self.order_sends.note(result.sends);
         }
-        self.on_order_outcome(rank, number, ended.end);
+        self.on_order_outcome(rank, number, result.end);
     }
 
     /// Processes the outcome of an order.
@@ -280,8 +281,8 @@
         let Some(orders) = self.phase.orders() else { return };
         if end == OrderOutcome::LacksMap {
             let Some((version, map)) = &self.last_sent_map else { return };
-            let whole = OrderKind::Prepare { version: *version, map: Arc::clone(map) };
-            orders.replace(rank, number, whole);
+            let complete = OrderKind::Prepare { version: *version, map: Arc::clone(map) };
+            orders.replace(rank, number, complete);
         } else if orders.set_outcome(rank, number, end) && end == OrderOutcome::Fenced {
             self.is_deposed = true;
         }
--- a/crates/core/src/map_change/undo.rs
+++ b/crates/core/src/map_change/undo.rs
@@ -39,6 +39,7 @@
         self.note(cause, version, epoch, None, actions);
     }
 
+    /// Moves an undo to its next stage once all orders of the present one are carried out.
     pub(super) fn advance_undoing(
         &mut self,
         epoch: u64,
--- a/crates/core/src/map_change/uneven.rs
+++ b/crates/core/src/map_change/uneven.rs
@@ -112,19 +112,19 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ImbalanceClock {
     /// When the map was last known to be balanced, or when the leader started.
-    even_at: Option<BootMs>,
+    balanced_at: Option<BootMs>,
     next_note_at: BootMs,
 }
 
 impl ImbalanceClock {
     /// Records that no other map would be better balanced.
-    pub(super) const fn note_even(&mut self, now: BootMs) {
-        self.even_at = Some(now);
+    pub(super) const fn note_balanced(&mut self, now: BootMs) {
+        self.balanced_at = Some(now);
     }
 
     /// Returns the time without a balanced map.
     fn uneven_ms(&mut self, now: BootMs) -> u64 {
-        now.since(*self.even_at.get_or_insert(now))
+        now.since(*self.balanced_at.get_or_insert(now))
     }
 
     fn is_due(&mut self, now: BootMs) -> bool {
