--- a/crates/core/src/agent/recovery.rs
+++ b/crates/core/src/agent/recovery.rs
@@ -223,7 +223,7 @@
         actions: &mut Vec<AgentAction>,
     ) {
         let verdict = Verdict::MayHaveRun;
-        let detail = "the agent has no record of the attempt".to_owned();
+        let detail = "the agent holds no record of the attempt".to_owned();
         let message = ToEntry::Failed { attempt, verdict, detail };
         actions.push(AgentAction::Send { link, message });
     }
@@ -253,7 +253,7 @@
                 ToEntry::KeyUsed { attempt, earlier, verdict }
             }
             FinalState::Ended { verdict } => {
-                let detail = "the response is no longer retained".to_owned();
+                let detail = "the answer is no longer held".to_owned();
                 ToEntry::Failed { attempt, verdict, detail }
             }
         };
--- a/crates/core/src/agent/run_events.rs
+++ b/crates/core/src/agent/run_events.rs
@@ -179,7 +179,7 @@
     /// Reports a failure to a reader whose missing chunks are no longer retained.
     fn fail_reader(&mut self, attempt: AttemptId, run: AttemptId, actions: &mut Vec<AgentAction>) {
         let verdict = Verdict::Ran;
-        let detail = "chunks of the response are no longer retained".to_owned();
+        let detail = "chunks of the answer are no longer held".to_owned();
         self.send_to_entry(attempt, ToEntry::Failed { attempt, verdict, detail }, actions);
         self.detach_reader(attempt, run);
         self.set_final_state(attempt, super::attempt::FinalState::Ended { verdict });
