--- a/crates/core/src/adoption/exchange.rs
+++ b/crates/core/src/adoption/exchange.rs
@@ -28,7 +28,7 @@
         document: Arc<Document>,
     },
     /// A peer holds this document under the revision that is in force here, with another content.
-    ConflictingDocument(Arc<Document>),
+    Conflict(Arc<Document>),
     /// Send one peer the stamp of the document in force here.
     Announce {
         /// The link to the peer.
@@ -118,9 +118,7 @@
             return Vec::new();
         }
         let mut actions = self.offer(now, &offer);
-        actions.extend(
-            self.conflicts.take_offer(now, &offer).map(ExchangeAction::ConflictingDocument),
-        );
+        actions.extend(self.conflicts.take_offer(now, &offer).map(ExchangeAction::Conflict));
         actions
     }
 
@@ -142,7 +140,7 @@
         let step = if is_conflict { self.conflicts.record_peer(now, peer) } else { None };
         let action = step.map(|step| match step {
             ConflictAction::Request => ExchangeAction::Request { link },
-            ConflictAction::Report(document) => ExchangeAction::ConflictingDocument(document),
+            ConflictAction::Report(document) => ExchangeAction::Conflict(document),
         });
         action.into_iter().collect()
     }
--- a/crates/core/tests/adoption_failures.rs
+++ b/crates/core/tests/adoption_failures.rs
@@ -126,7 +126,7 @@
         exchange.learn_peer_stamp(Now::at(at_ms), FIRST, conflicting.stamp())
     };
     let reports_conflict = |actions: &[ExchangeAction]| {
-        actions.iter().any(|action| matches!(action, ExchangeAction::ConflictingDocument(_)))
+        actions.iter().any(|action| matches!(action, ExchangeAction::Conflict(_)))
     };
     assert_eq!(
         learn_stamp(&mut exchange, 1),
--- a/crates/core/tests/whole_system/adapter.rs
+++ b/crates/core/tests/whole_system/adapter.rs
@@ -289,7 +289,7 @@
                     let entry = EntryEvent::Adopted { stamp, document: entry };
                     self.both(now, entry, AgentEvent::Adopted { stamp, document: agent }, effects);
                 }
-                ExchangeAction::ConflictingDocument(document) => {
+                ExchangeAction::Conflict(document) => {
                     self.agent_event(now, AgentEvent::Rival { document }, effects);
                 }
                 ExchangeAction::Announce { link, stamp } => {
--- a/crates/runtime/src/follower.rs
+++ b/crates/runtime/src/follower.rs
@@ -238,9 +238,7 @@
                     self.parts.view.update(|status| status.stamp = stamp);
                     followed = Some(Followed::Adopted { stamp, document });
                 }
-                ExchangeAction::ConflictingDocument(document) => {
-                    followed = Some(Followed::Rival(document))
-                }
+                ExchangeAction::Conflict(document) => followed = Some(Followed::Rival(document)),
                 ExchangeAction::Announce { link, stamp } => {
                     self.parts.links.send(link, Frame::Announce(stamp));
                 }
