--- a/crates/direct/src/agent/bulk.rs
+++ b/crates/direct/src/agent/bulk.rs
@@ -57,7 +57,7 @@
         pace.note_sent(boot_now(), length);
         if let Err(error) = member.socket.send_to(&bytes, to).await {
             let line = DecisionLog::fields("datagram").with("to", to).with("error", error);
-            member.log.note_ordinary(line.with("outcome", "lost"));
+            member.log.note_routine(line.with("outcome", "lost"));
         }
     }
 }
--- a/crates/direct/src/agent/hear.rs
+++ b/crates/direct/src/agent/hear.rs
@@ -22,7 +22,7 @@
             Ok(received) => received,
             Err(error) => {
                 // A machine without a listener answers an earlier datagram with an error.
-                member.log.note_ordinary(DecisionLog::fields("datagram").with("error", error));
+                member.log.note_routine(DecisionLog::fields("datagram").with("error", error));
                 tokio::time::sleep(Duration::from_millis(1)).await;
                 continue;
             }
--- a/crates/direct/src/agent/member.rs
+++ b/crates/direct/src/agent/member.rs
@@ -126,7 +126,7 @@
                 self.log.note(line.with("bytes", bytes.len()).with("outcome", "dropped"));
             }
         } else if let Err(error) = self.socket.send_to(&bytes, to).await {
-            self.log.note_ordinary(line.with("error", error).with("outcome", "lost"));
+            self.log.note_routine(line.with("error", error).with("outcome", "lost"));
         }
     }
 }
--- a/crates/direct/src/agent/program.rs
+++ b/crates/direct/src/agent/program.rs
@@ -5,8 +5,8 @@
 use super::rank::RankEngines;
 use super::{bulk, hear, lead, stand_in, tell};
 use crate::decision_log::DecisionLog;
-use crate::operators::{self, AgentPages};
-use crate::process::{Process, cannot_listen, end, listen};
+use crate::operators::{self, AgentEndpoints};
+use crate::process::{Process, listen, listen_error, log_last_line};
 use crate::settings::{ProcessSettings, SettingsSource};
 use miette::{Context, IntoDiagnostic};
 use std::net::SocketAddr;
@@ -28,12 +28,10 @@
     let backend = settings.backend.ok_or_else(|| miette::miette!("no backend server is named"))?;
     let service = settings.service.clone().unwrap_or_default();
     let address = SocketAddr::new(backend.ip(), settings.agent_port);
-    let socket = UdpSocket::bind(address)
-        .await
-        .into_diagnostic()
-        .wrap_err_with(|| cannot_listen(address))?;
+    let socket =
+        UdpSocket::bind(address).await.into_diagnostic().wrap_err_with(|| listen_error(address))?;
     let listener = listen(address).await?;
-    tokio::task::spawn_local(operators::serve(listener, Rc::new(AgentPages(exposition))));
+    tokio::task::spawn_local(operators::serve(listener, Rc::new(AgentEndpoints(exposition))));
     let line = DecisionLog::fields("start").with("instance", &settings.instance);
     let line = line.with("backend", backend).with("service", &service);
     log.note(line.with("fences_orders", settings.bounds.fences_orders));
@@ -53,6 +51,6 @@
     let following = reload.follow(move |settings| fleet.set_seeds(&settings.seeds));
     tokio::task::spawn_local(following);
     signals.next().await;
-    end(&log, DecisionLog::fields("stop").with("instance", &settings.instance)).await;
+    log_last_line(&log, DecisionLog::fields("stop").with("instance", &settings.instance)).await;
     Ok(())
 }
--- a/crates/direct/src/callers/connection.rs
+++ b/crates/direct/src/callers/connection.rs
@@ -64,7 +64,7 @@
     let _counted = Counted::new(&state.open_connections);
     // Without it an event would wait for the acknowledgement of the one before.
     if let Err(error) = stream.set_nodelay(true) {
-        state.log.note_ordinary(DecisionLog::fields("caller-connection").with("error", error));
+        state.log.note_routine(DecisionLog::fields("caller-connection").with("error", error));
         return;
     }
     let limits = limits(&state);
@@ -93,7 +93,7 @@
     if let Err(error) = ended {
         metrics::counter!("hickorycross_caller_connections_broken_total").increment(1);
         let line = DecisionLog::fields("caller-connection").with("error", error);
-        state.log.note_ordinary(line.with("outcome", "broken"));
+        state.log.note_routine(line.with("outcome", "broken"));
     }
 }
 
--- a/crates/direct/src/decision_log.rs
+++ b/crates/direct/src/decision_log.rs
@@ -99,7 +99,7 @@
     }
 
     /// Writes a line about the ordinary course of a request.
-    pub fn note_ordinary(&self, fields: Fields) {
+    pub fn note_routine(&self, fields: Fields) {
         self.send(fields, (MOST_WAITING - KEPT_FOR_FAILURES) as u64);
     }
 
--- a/crates/direct/src/entry.rs
+++ b/crates/direct/src/entry.rs
@@ -3,7 +3,7 @@
 use crate::clock::boot_now;
 use crate::decision_log::DecisionLog;
 use crate::operators::EntryPages;
-use crate::process::{Process, end, listen};
+use crate::process::{Process, listen, log_last_line};
 use crate::settings::{ProcessSettings, SettingsSource};
 use crate::state::EntryState;
 use crate::store::SharedStore;
@@ -64,7 +64,7 @@
     signals.next().await;
     drain(&state, &accepting).await;
     let line = DecisionLog::fields("stop").with("open_requests", state.open_requests.get());
-    end(&state.log, line).await;
+    log_last_line(&state.log, line).await;
     Ok(())
 }
 
@@ -117,7 +117,7 @@
     settings.listen = state.settings.borrow().listen;
     state.peers.borrow_mut().set_seeds(&settings.seeds);
     *state.settings.borrow_mut() = settings;
-    state.split_slack();
+    state.update_retry_budget();
 }
 
 /// Closes connections to backend servers that are past their time, and forgets what else is.
@@ -126,7 +126,7 @@
         tokio::time::sleep(Duration::from_millis(PRUNE_PAUSE_MS)).await;
         state.pool.prune(|id, born_ms| state.backends.borrow().takes_work(id, born_ms));
         let now = boot_now();
-        state.split_slack();
+        state.update_retry_budget();
         state.crashes.borrow_mut().expire(now);
         state.limits.borrow_mut().expire(now);
         state.limit_grants.borrow_mut().expire(now);
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -143,7 +143,7 @@
         backends_as_of,
         backends,
         members: members.collect(),
-        shared: state.words_for(question.shared_sum, now),
+        shared: state.reports_for(question.shared_sum, now),
     }
 }
 
@@ -192,7 +192,7 @@
 fn note_member(state: &EntryState, address: SocketAddr, heard_at: BootMs) {
     if state.peers.borrow_mut().note(address, heard_at) {
         state.log.note(DecisionLog::fields("member").with("peer", address).with("outcome", "seen"));
-        state.split_slack();
+        state.update_retry_budget();
     }
 }
 
@@ -206,7 +206,7 @@
     let _ = tokio::time::timeout(Duration::from_millis(FIRST_ANSWER_MS), join_all(asking)).await;
     state.has_asked_peers.set(true);
     loop {
-        if let Some(peer) = state.next_to_ask() {
+        if let Some(peer) = state.random_peer() {
             let asking = ask(Rc::clone(&state), peer);
             tokio::task::spawn_local(asking);
             asked += 1;
@@ -232,12 +232,12 @@
         state.log.note(DecisionLog::fields("member").with("peer", peer).with("outcome", "gone"));
     }
     if !gone.is_empty() {
-        state.split_slack();
+        state.update_retry_budget();
     }
 }
 
 async fn ask(state: Rc<EntryState>, peer: SocketAddr) {
-    let shared_sum = Some(state.words_sum());
+    let shared_sum = Some(state.reports_checksum());
     exchange_with(&state, peer, Question { shared_sum, ..question(&state) }).await;
 }
 
@@ -262,7 +262,7 @@
         Err(error) => {
             metrics::counter!("hickorycross_exchange_failures_total").increment(1);
             let line = DecisionLog::fields("member").with("peer", peer).with("error", error);
-            state.log.note_ordinary(line.with("outcome", "silent"));
+            state.log.note_routine(line.with("outcome", "silent"));
         }
     }
 }
--- a/crates/direct/src/forward/account.rs
+++ b/crates/direct/src/forward/account.rs
@@ -27,14 +27,14 @@
         let spent = self.state.allowance.borrow().retry_count(&self.service);
         let line = line.with("backends_as_of", self.state.backends_as_of.get());
         let line = line.with("second_sends_spent", spent);
-        self.state.log.note_ordinary(line.with_some("resume_after", resume_after));
+        self.state.log.note_routine(line.with_some("resume_after", resume_after));
     }
 
     /// Says that a request waits for a group that stands.
     pub(super) fn note_wait(&self, back_in_ms: u64) {
         let line = self.line("wait").with("back_in_ms", back_in_ms);
         let line = line.with("used_ms", self.request.used_ms).with("sends", self.sends);
-        self.state.log.note_ordinary(line);
+        self.state.log.note_routine(line);
     }
 
     pub(super) fn note_attempt_end(&self, id: &str, end: AttemptEnd, is_paused: bool) {
@@ -75,7 +75,7 @@
         let line = line.with("verdict", self.verdict).with("sends", self.sends);
         let line = line.with("took_ms", took_ms);
         if status.is_none_or(|status| status.is_success()) {
-            self.state.log.note_ordinary(line);
+            self.state.log.note_routine(line);
         } else {
             let open = self.state.backends.borrow().outstanding(&self.service);
             let bound = self.state.admission.borrow().limit_requests(&self.service);
--- a/crates/direct/src/forward/attempt.rs
+++ b/crates/direct/src/forward/attempt.rs
@@ -52,7 +52,7 @@
             backends.note_stream_ended(&self.server, is_begun);
         }
         drop(backends);
-        self.state.room.notify_one();
+        self.state.capacity_changed.notify_one();
     }
 }
 
--- a/crates/direct/src/forward/room.rs
+++ b/crates/direct/src/forward/room.rs
@@ -53,7 +53,7 @@
                 }
             };
             let left_ms = wait_until.min(self.request.limit_at).since(now).max(1);
-            let freed = self.state.room.notified();
+            let freed = self.state.capacity_changed.notified();
             // Whatever ends the wait, everything is looked at anew.
             let _ = tokio::time::timeout(Duration::from_millis(left_ms), freed).await;
             self.check_before_send()?;
@@ -116,7 +116,7 @@
             if is_pending.get() {
                 let mut outlooks = state.outlooks.borrow_mut();
                 outlooks.entry(service).or_default().note_accepted(boot_now());
-                state.room.notify_waiters();
+                state.capacity_changed.notify_waiters();
             }
         });
         watch
@@ -214,7 +214,7 @@
 
     pub(super) fn has_room(&self) -> bool {
         let backends = self.state.backends.borrow();
-        let share = f64::from(backends.slots(&self.service)) / self.state.entries() as f64;
+        let share = f64::from(backends.slots(&self.service)) / self.state.live_entry_count() as f64;
         let open = backends.outstanding(&self.service);
         let now = boot_now();
         let used = patience_used(&self.request.route, self.heard_at, now);
--- a/crates/direct/src/limit_share.rs
+++ b/crates/direct/src/limit_share.rs
@@ -114,7 +114,7 @@
     let line = DecisionLog::fields("limit-grant").with("backend_digest", incarnation);
     let line = line.with("limit_millirequests_per_s", limit).with("asker", asker);
     let line = line.with("wanted", wanted).with("permits", grant.permits);
-    state.log.note_ordinary(line.with("ask_again_ms", grant.ask_again_ms));
+    state.log.note_routine(line.with("ask_again_ms", grant.ask_again_ms));
     grant
 }
 
@@ -126,7 +126,7 @@
     match obtain(&state, own, word, wanted).await {
         Some(grant) => {
             state.limit_permits.borrow_mut().note_grant(incarnation, grant, asked_at);
-            state.room.notify_waiters();
+            state.capacity_changed.notify_waiters();
         }
         None => state.limit_permits.borrow_mut().note_unanswered(incarnation, boot_now()),
     }
@@ -153,7 +153,7 @@
             Err(error) => {
                 state.silent_entries.note(entry);
                 let line = DecisionLog::fields("member").with("peer", entry);
-                state.log.note_ordinary(line.with("error", error).with("outcome", "no-permits"));
+                state.log.note_routine(line.with("error", error).with("outcome", "no-permits"));
                 return None;
             }
         }
--- a/crates/direct/src/operators.rs
+++ b/crates/direct/src/operators.rs
@@ -46,7 +46,7 @@
 }
 
 /// The pages of an agent, which has only metrics.
-pub(crate) struct AgentPages(pub(crate) Exposition);
+pub(crate) struct AgentEndpoints(pub(crate) Exposition);
 
 impl Pages for EntryPages {
     fn respond(&self, request: Request<Incoming>) -> Responding<'_> {
@@ -72,7 +72,7 @@
     }
 }
 
-impl Pages for AgentPages {
+impl Pages for AgentEndpoints {
     fn respond(&self, request: Request<Incoming>) -> Responding<'_> {
         Box::pin(async move {
             match (request.method(), request.uri().path()) {
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -42,16 +42,16 @@
 ///
 /// When that is not possible; the report names the address.
 pub(crate) async fn listen(address: SocketAddr) -> miette::Result<TcpListener> {
-    TcpListener::bind(address).await.into_diagnostic().wrap_err_with(|| cannot_listen(address))
+    TcpListener::bind(address).await.into_diagnostic().wrap_err_with(|| listen_error(address))
 }
 
 /// Why a process ends at once.
-pub(crate) fn cannot_listen(address: SocketAddr) -> String {
+pub(crate) fn listen_error(address: SocketAddr) -> String {
     format!("cannot listen at {address}")
 }
 
 /// Writes the last line, and gives it time to be written.
-pub(crate) async fn end(log: &DecisionLog, line: Fields) {
+pub(crate) async fn log_last_line(log: &DecisionLog, line: Fields) {
     log.note(line);
     tokio::time::sleep(Duration::from_millis(LAST_LINE_MS)).await;
 }
--- a/crates/direct/src/state.rs
+++ b/crates/direct/src/state.rs
@@ -118,7 +118,7 @@
     /// Requests that wait and were not sent yet.
     pub(crate) unsent: Unsent,
     /// Told whenever a request to a backend server ends.
-    pub(crate) room: Notify,
+    pub(crate) capacity_changed: Notify,
     /// Told whenever a pass of a group ends.
     pub(crate) pass_ended: Notify,
     pub(crate) is_draining: Cell<bool>,
@@ -160,7 +160,7 @@
             first_deadlines: RefCell::default(),
             passes: RefCell::default(),
             unsent: Unsent::default(),
-            room: Notify::new(),
+            capacity_changed: Notify::new(),
             pass_ended: Notify::new(),
             is_draining: Cell::new(false),
             open_requests: Cell::new(0),
@@ -196,7 +196,7 @@
     }
 
     /// Takes over the number of known entries for the split of the slack.
-    pub(crate) fn split_slack(&self) {
+    pub(crate) fn update_retry_budget(&self) {
         let peers = self.peers.borrow().live_count(boot_now());
         self.allowance.borrow_mut().set(allowance_of(&self.settings.borrow(), peers));
     }
@@ -210,13 +210,13 @@
     }
 
     /// The peer to ask next.
-    pub(crate) fn next_to_ask(&self) -> Option<SocketAddr> {
+    pub(crate) fn random_peer(&self) -> Option<SocketAddr> {
         self.peers.borrow().random_peer(&mut *self.random.borrow_mut())
     }
 
     /// All words of this entry, for a peer whose words have another sum.
-    pub(crate) fn words_for(&self, sum: Option<u64>, now: BootMs) -> Vec<SharedWord> {
-        if sum.is_none_or(|sum| sum == self.words_sum()) {
+    pub(crate) fn reports_for(&self, sum: Option<u64>, now: BootMs) -> Vec<SharedWord> {
+        if sum.is_none_or(|sum| sum == self.reports_checksum()) {
             return Vec::new();
         }
         let requests = self.crashes.borrow().reports(now).into_iter().map(SharedWord::Request);
@@ -225,12 +225,12 @@
     }
 
     /// A sum over the words of this entry, the same at entries that know the same.
-    pub(crate) fn words_sum(&self) -> u64 {
+    pub(crate) fn reports_checksum(&self) -> u64 {
         self.crashes.borrow().checksum() ^ self.limits.borrow().checksum()
     }
 
     /// Other entries that live, as far as is known, and this one.
-    pub(crate) fn entries(&self) -> usize {
+    pub(crate) fn live_entry_count(&self) -> usize {
         self.peers.borrow().live_count(boot_now()) + 1
     }
 }
--- a/crates/direct/tests/decision_log.rs
+++ b/crates/direct/tests/decision_log.rs
@@ -49,7 +49,7 @@
     let (log, permit, lines) = pipe();
     let begun_at = Instant::now();
     for number in 0..LINES {
-        log.note_ordinary(DecisionLog::fields("final").with("request", number));
+        log.note_routine(DecisionLog::fields("final").with("request", number));
     }
     assert!(begun_at.elapsed() < NEVER_WAITS, "{:?}", begun_at.elapsed());
     let ordinary_dropped = log.dropped();
@@ -76,7 +76,7 @@
 fn lines_dropped_after_the_word_on_dropped_lines_are_told_too() {
     let (log, permit, lines) = pipe();
     let fill = || {
-        (0..LINES).for_each(|n| log.note_ordinary(DecisionLog::fields("final").with("n", n)));
+        (0..LINES).for_each(|n| log.note_routine(DecisionLog::fields("final").with("n", n)));
     };
     fill();
     let first_dropped = log.dropped();
