--- a/crates/direct/src/clock.rs
+++ b/crates/direct/src/clock.rs
@@ -3,14 +3,16 @@
 use hickorycross_core::direct::BootMs;
 use rustix::time::{ClockId, clock_gettime};
 
-/// The present moment, suspended time included.
+/// Returns the time since the instance booted, including time in suspend. It never steps back.
 #[must_use]
 pub fn boot_now() -> BootMs {
     BootMs(milliseconds(ClockId::Boottime))
 }
 
-/// The time of day in milliseconds since the Unix epoch. It may step and differ between machines;
-/// nothing may rest on it but numbers that should grow over the lives of processes.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
+///
+/// The wall clock may step and differ between instances. Use it only for log lines and for numbers
+/// that should increase across restarts of a process.
 #[must_use]
 pub fn wall_ms() -> u64 {
     milliseconds(ClockId::Realtime)
--- a/crates/direct/src/decision_log.rs
+++ b/crates/direct/src/decision_log.rs
@@ -1,4 +1,4 @@
-//! One line for each decision, on standard output, without ever waiting for the reader.
+//! A log of decisions on standard output that never blocks on its reader.
 
 use crate::clock::{boot_now, wall_ms};
 use std::fmt::{Display, Write as _};
@@ -6,18 +6,17 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 
-/// Lines that may wait for the reader. At 200 bytes a line this is about 200 KB.
-const MOST_WAITING: usize = 1024;
+/// Most lines that are queued for the writer thread: about 200 KB at 200 bytes per line.
+const MAX_QUEUED_LINES: usize = 1024;
 
-/// Of them, lines that only failures and changes of belief may fill.
-///
-/// A burst of ordinary successes must not push out the lines that explain a failure.
-const KEPT_FOR_FAILURES: usize = 256;
+/// Part of the queue that is reserved for failures and state changes, so that a burst of routine
+/// lines cannot displace the lines that explain a failure.
+const RESERVED_FOR_FAILURES: usize = 256;
 
-/// Writes decisions as lines of key=value pairs.
+/// Writes lines of key=value pairs, one for each decision.
 ///
-/// Lines go through a bounded buffer to a thread of their own. When the reader does not read, the
-/// buffer fills up and lines are dropped and counted; requests never wait.
+/// Lines go through a bounded queue to a writer thread. When the reader of the output is too slow,
+/// the queue fills up, and further lines are dropped and counted; requests never wait.
 #[derive(Clone, Debug)]
 pub struct DecisionLog {
     lines: SyncSender<String>,
@@ -25,12 +24,13 @@
     dropped: Arc<AtomicU64>,
 }
 
-/// Builds the fields of one line.
+/// A line that is being built field by field.
 #[derive(Debug)]
 pub struct Fields(String);
 
 impl Fields {
-    /// Adds one field; a value with spaces, quotes or control characters is quoted and escaped.
+    /// Adds a field. A value that is empty or has spaces, quotes, control or non-ASCII characters is
+    /// quoted and escaped.
     #[must_use]
     pub fn with(mut self, name: &str, value: impl Display) -> Self {
         let start = self.0.len() + name.len() + 2;
@@ -61,22 +61,22 @@
 }
 
 impl DecisionLog {
-    /// Begins a log on standard output.
+    /// Starts a log on standard output.
     ///
     /// # Errors
     ///
-    /// When the system gives no thread.
+    /// When the writer thread cannot be started.
     pub fn start() -> std::io::Result<Self> {
         Self::start_with(Box::new(std::io::stdout()))
     }
 
-    /// Begins a log on `output`.
+    /// Starts a log on `output`.
     ///
     /// # Errors
     ///
-    /// When the system gives no thread.
+    /// When the writer thread cannot be started.
     pub fn start_with(output: Box<dyn std::io::Write + Send>) -> std::io::Result<Self> {
-        let (lines, received) = sync_channel::<String>(MOST_WAITING);
+        let (lines, received) = sync_channel::<String>(MAX_QUEUED_LINES);
         let log = Self { lines, waiting: Arc::default(), dropped: Arc::default() };
         let (waiting, dropped) = (Arc::clone(&log.waiting), Arc::clone(&log.dropped));
         std::thread::Builder::new()
@@ -85,7 +85,7 @@
         Ok(log)
     }
 
-    /// Begins a line about `event`.
+    /// Starts a line about `event`, with the present time.
     #[must_use]
     pub fn fields(event: &str) -> Fields {
         let mut line = String::with_capacity(200);
@@ -93,25 +93,26 @@
         Fields(line)
     }
 
-    /// Writes a line that explains a failure or a change of belief.
+    /// Queues a line about a failure or a change of state, for which a part of the queue is
+    /// reserved.
     pub fn note(&self, fields: Fields) {
-        self.send(fields, MOST_WAITING as u64);
+        self.send(fields, MAX_QUEUED_LINES as u64);
     }
 
-    /// Writes a line about the ordinary course of a request.
+    /// Queues a line about the normal course of a request.
     pub fn note_routine(&self, fields: Fields) {
-        self.send(fields, (MOST_WAITING - KEPT_FOR_FAILURES) as u64);
+        self.send(fields, (MAX_QUEUED_LINES - RESERVED_FOR_FAILURES) as u64);
     }
 
-    /// Lines that were dropped since the start.
+    /// Returns the number of lines that were dropped since the start.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 
-    fn send(&self, fields: Fields, most: u64) {
+    fn send(&self, fields: Fields, max_queued: u64) {
         let line = fields.into_line();
-        if self.waiting.load(Ordering::Relaxed) >= most {
+        if self.waiting.load(Ordering::Relaxed) >= max_queued {
             self.count_dropped();
             return;
         }
@@ -129,29 +130,31 @@
     }
 }
 
-/// Writes lines until the log is gone, and says how many were dropped as soon as one can be written.
+/// Writes queued lines until all handles of the log are dropped, and reports how many lines were
+/// dropped before the next line that is written.
 ///
-/// Without that word, somebody who looks for a request in the log would take it for one that the
-/// process has never seen.
+/// Without that report, a request that is missing from the log would look like one that never
+/// reached the process.
 fn write_all(
     mut output: Box<dyn std::io::Write + Send>,
     lines: &Receiver<String>,
     waiting: &AtomicU64,
     dropped: &AtomicU64,
 ) {
-    let mut said = 0;
+    let mut reported = 0;
     for line in lines {
         waiting.fetch_sub(1, Ordering::Relaxed);
         let now_dropped = dropped.load(Ordering::Relaxed);
-        if now_dropped > said {
-            let told = DecisionLog::fields("log").with("outcome", "lines-dropped");
-            let told = told.with("lines", now_dropped - said).with("lines_total", now_dropped);
-            // What could not be said is said before a later line.
-            if output.write_all(told.into_line().as_bytes()).is_ok() {
-                said = now_dropped;
+        if now_dropped > reported {
+            let report = DecisionLog::fields("log").with("outcome", "lines-dropped");
+            let report =
+                report.with("lines", now_dropped - reported).with("lines_total", now_dropped);
+            // If this fails, the count is included in the report before a later line.
+            if output.write_all(report.into_line().as_bytes()).is_ok() {
+                reported = now_dropped;
             }
         }
-        // Nobody reads the log any more, so that it cannot say why; the metrics address counts it.
+        // The output is closed, so the lost line is visible in the metrics only.
         if output.write_all(line.as_bytes()).is_err() {
             count_dropped(dropped);
         }
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -1,13 +1,15 @@
-//! The processes of a fleet whose entries reach backend servers without agents between them.
+//! The processes of a fleet whose entries send requests to backend servers directly, without an
+//! agent in the request path.
 //!
-//! - [`run_entry`] takes callers' requests and sends them straight to backend servers; what it
-//!   decides stands in `hickorycross_core::direct`.
-//! - [`run_agent`] stands beside a backend server that is a rank of a group, and keeps one expert
-//!   map in every pass of the group together with the other agents.
-//! - [`SharedStore`] and [`RankEngine`] are what a platform must give: the operators' configuration
-//!   with the list of backend servers, and the ranks' own words. [`WireNames`] are the names that
-//!   its requests carry.
-//! - [`ProcessSettings`] is what a process must know at its start.
+//! - [`run_entry`] runs an entry, which accepts callers' requests and forwards them to backend
+//!   servers. The decision logic is in `hickorycross_core::direct`.
+//! - [`run_agent`] runs an agent beside a backend server that is a rank of a group. The agents of a
+//!   group make sure that all ranks use the same expert map in each pass.
+//! - [`SharedStore`] and [`RankEngine`] are the interfaces that a platform implements: the first
+//!   provides the operators' configuration and the list of backend servers, the second controls a
+//!   rank and reads its state. [`WireNames`] holds the names of header fields and paths that the
+//!   platform uses.
+//! - [`ProcessSettings`] holds the settings of a process.
 
 mod agent;
 mod callers;
--- a/crates/direct/src/process.rs
+++ b/crates/direct/src/process.rs
@@ -1,4 +1,4 @@
-//! What an entry and an agent have in common as processes: how they start, listen and end.
+//! Start, listeners and end of a process, shared by entries and agents.
 
 use crate::decision_log::{DecisionLog, Fields};
 use crate::reload::Reload;
@@ -10,10 +10,11 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Time for the log's thread to write the last line, which takes well under a millisecond.
+/// Time for the writer thread of the log to write the last line, which takes well under a
+/// millisecond.
 const LAST_LINE_MS: u64 = 5;
 
-/// What a process sets up before it does anything else.
+/// What every process sets up first.
 pub(crate) struct Process {
     pub(crate) exposition: Exposition,
     pub(crate) log: DecisionLog,
@@ -22,11 +23,11 @@
 }
 
 impl Process {
-    /// Sets metrics, log and signals up.
+    /// Sets up metrics, log and signal handlers.
     ///
     /// # Errors
     ///
-    /// When the system gives no signals or threads, or metrics were set up before.
+    /// When signal handlers or threads cannot be set up, or metrics were set up before.
     pub(crate) fn start(source: Box<dyn SettingsSource>) -> miette::Result<Self> {
         let exposition = Exposition::install().into_diagnostic()?;
         let log = DecisionLog::start().into_diagnostic()?;
@@ -36,21 +37,21 @@
     }
 }
 
-/// Listens at an address.
+/// Binds a TCP listener to an address.
 ///
 /// # Errors
 ///
-/// When that is not possible; the report names the address.
+/// When the address cannot be bound; the report contains the address.
 pub(crate) async fn listen(address: SocketAddr) -> miette::Result<TcpListener> {
     TcpListener::bind(address).await.into_diagnostic().wrap_err_with(|| listen_error(address))
 }
 
-/// Why a process ends at once.
+/// Returns the message for an address that cannot be bound.
 pub(crate) fn listen_error(address: SocketAddr) -> String {
-    format!("cannot listen at {address}")
+    format!("cannot listen on {address}")
 }
 
-/// Writes the last line, and gives it time to be written.
+/// Queues the last line of the log and waits until it is written.
 pub(crate) async fn log_last_line(log: &DecisionLog, line: Fields) {
     log.note(line);
     tokio::time::sleep(Duration::from_millis(LAST_LINE_MS)).await;
--- a/crates/direct/src/reload.rs
+++ b/crates/direct/src/reload.rs
@@ -1,14 +1,14 @@
-//! Takes over changed settings, at a signal or when they are seen to differ.
+//! Reloads settings on SIGHUP, and periodically in case they changed without a signal.
 
 use crate::decision_log::DecisionLog;
 use crate::settings::{ProcessSettings, SettingsSource};
 use std::time::Duration;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Pause between looks at the settings, which may change without a signal.
-const LOOK_PAUSE_MS: u64 = 2_000;
+/// Interval between reads of the settings without a signal.
+const POLL_INTERVAL_MS: u64 = 2_000;
 
-/// Settings that may change while a process runs.
+/// Watches settings that may change while a process runs.
 pub(crate) struct Reload {
     source: Box<dyn SettingsSource>,
     hangups: Signal,
@@ -16,11 +16,11 @@
 }
 
 impl Reload {
-    /// Takes the signal over from the system's default, which would end the process.
+    /// Installs a handler for SIGHUP, whose default action would end the process.
     ///
     /// # Errors
     ///
-    /// When the system refuses.
+    /// When the handler cannot be installed.
     pub(crate) fn install(
         source: Box<dyn SettingsSource>,
         log: DecisionLog,
@@ -28,17 +28,17 @@
         Ok(Self { source, hangups: signal(SignalKind::hangup())?, log })
     }
 
-    /// Hands changed settings to `take`, for ever.
-    pub(crate) async fn follow(mut self, take: impl Fn(ProcessSettings)) {
+    /// Calls `apply` with changed settings, forever. Invalid settings are logged and ignored.
+    pub(crate) async fn follow(mut self, apply: impl Fn(ProcessSettings)) {
         loop {
             tokio::select! {
                 _ = self.hangups.recv() => {}
-                () = tokio::time::sleep(Duration::from_millis(LOOK_PAUSE_MS)) => {}
+                () = tokio::time::sleep(Duration::from_millis(POLL_INTERVAL_MS)) => {}
             }
             match self.source.reload() {
                 Ok(Some(settings)) => {
                     self.log.note(DecisionLog::fields("reload").with("outcome", "adopted"));
-                    take(settings);
+                    apply(settings);
                 }
                 Ok(None) => {}
                 Err(report) => {
--- a/crates/direct/src/settings.rs
+++ b/crates/direct/src/settings.rs
@@ -1,66 +1,66 @@
-//! What a process must know at its start.
+//! Settings of the processes.
 
 use std::net::SocketAddr;
 
-/// Settings of an entry or an agent, as the platform gives them.
+/// Settings of an entry or an agent, as provided by the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProcessSettings {
-    /// Names this instance.
+    /// Name of this instance.
     pub instance: String,
-    /// Where it stands.
+    /// Failure domain of this instance.
     pub failure_domain: String,
     /// Addresses to listen at.
     pub listen: Listen,
-    /// Port for datagrams between agents, the same on every machine.
+    /// UDP port for datagrams between agents, the same on every instance.
     pub agent_port: u16,
-    /// Addresses at which some entries answer other processes.
+    /// Control addresses of some entries, from which the others are discovered.
     pub seeds: Vec<SocketAddr>,
-    /// The backend server beside which this process runs, for an agent.
+    /// Address of the backend server beside which an agent runs.
     pub backend: Option<SocketAddr>,
-    /// The service of that backend server.
+    /// Service of that backend server.
     pub service: Option<String>,
-    /// Bounds that the fleet keeps.
+    /// Limits that hold over the whole fleet.
     pub bounds: Bounds,
-    /// Where the store answers.
+    /// Address of the store.
     pub store: SocketAddr,
 }
 
-/// Addresses to listen at; those that a role does not serve are missing.
+/// Addresses to listen on; `None` for those that the role of the process does not serve.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Listen {
-    /// Callers' requests.
+    /// Address for callers' requests.
     pub callers: Option<SocketAddr>,
-    /// The balancer's question whether this process takes connections.
+    /// Address for the readiness check of the external load balancer.
     pub ready: Option<SocketAddr>,
-    /// Other processes of the fleet, and operators.
+    /// Address for other processes of the fleet and for operators.
     pub control: Option<SocketAddr>,
 }
 
-/// Bounds that the fleet keeps.
+/// Limits that hold over the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Time within which a key that was taken away is dead everywhere.
+    /// Longest time in milliseconds until a revoked API key is rejected by every entry.
     pub revoke_ms: u64,
-    /// Time that a process has between the request to stop and its end.
+    /// Time in milliseconds that a process has from the stop signal until it is killed.
     pub grace_ms: u64,
-    /// Span over which second sends are counted.
+    /// Length of the sliding window over which retries are counted, in milliseconds.
     pub retry_window_ms: u64,
-    /// Second sends for each request, over the whole fleet.
+    /// Retries allowed per request in the window, over the whole fleet.
     pub retry_ratio: f64,
-    /// Second sends in a span that need no request, over the whole fleet.
+    /// Retries allowed in the window in addition to the ratio, over the whole fleet.
     pub retry_slack: f64,
-    /// Time for which all ranks of a group stall when one is gone.
+    /// Time in milliseconds for which all ranks of a group stall after one is lost.
     pub stall_ms: u64,
-    /// Whether backend servers refuse orders with an old fencing number.
+    /// Whether backend servers refuse orders with an outdated fencing token.
     pub fences_orders: bool,
 }
 
-/// Gives the settings again when they may have changed.
+/// Reads the settings again while a process runs.
 pub trait SettingsSource {
-    /// Reads the settings; `None` when they are as they were at the last call.
+    /// Reads the settings. Returns `None` if they have not changed since the last call.
     ///
     /// # Errors
     ///
-    /// A report that names every fault, when they cannot be used.
+    /// When the settings are not valid; the report lists every fault.
     fn reload(&mut self) -> miette::Result<Option<ProcessSettings>>;
 }
--- a/crates/direct/src/wire_names.rs
+++ b/crates/direct/src/wire_names.rs
@@ -1,30 +1,31 @@
-//! Names that requests carry between callers, entries and backend servers.
+//! Names in HTTP requests between callers, entries and backend servers.
 
 use http::HeaderName;
 
-/// Names of header fields, and the path that the balancer asks.
+/// Names of header fields, and what else the platform defines for requests.
 #[derive(Clone, Debug)]
 pub struct WireNames {
-    /// Names one attempt of a caller; echoed in its answer.
+    /// Field with the id of a caller's attempt; a backend server repeats it in its answer.
     pub attempt_id: HeaderName,
-    /// Milliseconds for which the sender waits.
+    /// Field with the time in milliseconds for which the sender waits.
     pub deadline_ms: HeaderName,
-    /// Digest that a backend server puts on its answers.
+    /// Field with the digest of a backend server's answer.
     pub digest: HeaderName,
-    /// The team that holds the caller's key.
+    /// Field with the team to which the caller's API key belongs.
     pub team: HeaderName,
-    /// The incarnation that is meant; any other rejects the request.
+    /// Field with the incarnation to which the request is sent; any other one rejects it.
     pub expected_incarnation: HeaderName,
-    /// Says that the backend server did not run the request.
+    /// Field of an answer that tells that the backend server did not run the request.
     pub not_run: HeaderName,
-    /// Urgency, 0 first.
+    /// Field with the urgency of a request; 0 is the most urgent.
     pub urgency: HeaderName,
-    /// How many requests a second a backend server in need takes from all entries together.
+    /// Field of an answer with the limit that a backend server announces, in requests per second
+    /// from all entries together.
     pub server_limit: HeaderName,
-    /// Scheme in front of the key in `Authorization`.
+    /// Scheme of the API key in the `Authorization` field.
     pub key_scheme: &'static str,
-    /// Path of the balancer's question.
+    /// Path of the readiness check of the external load balancer.
     pub ready_path: &'static str,
-    /// Lowest urgency that may be sent.
+    /// Number of the lowest urgency that may be sent.
     pub lowest_urgency: u8,
 }
