--- a/crates/direct/src/forward/stream.rs
+++ b/crates/direct/src/forward/stream.rs
@@ -1,4 +1,5 @@
-//! Forwards events as they arrive, and resumes a broken stream at another backend server.
+//! Forwards events as they arrive, and resumes a broken stream at another backend server after the
+//! last event that its caller got.
 
 use super::active_request::ActiveRequest;
 use super::attempt::{Attempt, Reply, end_to_end};
--- a/crates/direct/src/state.rs
+++ b/crates/direct/src/state.rs
@@ -94,7 +94,7 @@
     pub(crate) retry_budget: RefCell<RetryBudget>,
     pub(crate) admission: RefCell<Admission>,
     pub(crate) peers: RefCell<PeerTable>,
-    /// Whether a peer has answered, or none of those known at the start did.
+    /// Whether a peer has answered, or the time for first answers after the start has passed.
     pub(crate) has_asked_peers: Cell<bool>,
     /// Requests that backend servers had when they ended.
     pub(crate) crashes: RefCell<CrashTable>,
