--- a/crates/direct/src/agent/afar.rs
+++ b/crates/direct/src/agent/afar.rs
@@ -8,7 +8,7 @@
 use super::datagram::Datagram;
 use super::execute::{SHOW_PAUSE_AFAR_MS, execute, execute_afar};
 use super::member::Member;
-use super::rank::RankEngine;
+use super::rank::RankClient;
 use crate::decision_log::DecisionLog;
 use hickorycross_core::map_change::{
     ArmAttempt, OrderKind, OrderOutcome, OrderResult, RankOrder, Witness,
@@ -19,7 +19,7 @@
 /// Gives an order to a rank whose agent is silent.
 pub(crate) fn order(
     member: &Rc<Member>,
-    engine: Rc<dyn RankEngine>,
+    engine: Rc<dyn RankClient>,
     rank: u16,
     number: u64,
     order: RankOrder,
@@ -107,10 +107,10 @@
     member.send(from, &Datagram::End { rank, number, fence, ended }).await;
 }
 
-fn engine_beside(member: &Member, agent: SocketAddr) -> Option<Rc<dyn RankEngine>> {
+fn engine_beside(member: &Member, agent: SocketAddr) -> Option<Rc<dyn RankClient>> {
     let beside = |address: &SocketAddr| address.ip() == agent.ip();
     let address = member.fleet.addresses().into_iter().find(beside)?;
-    Some(member.engines.at(address))
+    Some(member.engines.remote(address))
 }
 
 /// Whether no leader with a higher fence has been heard since an order was taken.
--- a/crates/direct/src/agent/execute.rs
+++ b/crates/direct/src/agent/execute.rs
@@ -1,6 +1,6 @@
 //! Carries an order out for certain, whatever is lost on the way.
 
-use super::rank::{OrderReply, RankEngine, RankError, RankReport};
+use super::rank::{OrderReply, RankClient, RankError, RankReport};
 use crate::decision_log::DecisionLog;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -38,7 +38,7 @@
 /// The rank's own report decides, not the answer to the order: the answer may be lost though the
 /// order was accepted. `is_current` says whether the order's leader still leads, as far as is known.
 pub(crate) async fn execute(
-    engine: &dyn RankEngine,
+    engine: &dyn RankClient,
     order: &RankOrder,
     show_pause_ms: u64,
     is_current: &dyn Fn() -> bool,
@@ -101,7 +101,7 @@
             }
             // The pass began meanwhile; a later one is to be held.
             Ok(OrderReply::Conflict) if is_ahead => note(log, order, send, "conflict"),
-            Ok(OrderReply::Conflict | OrderReply::Unusable(_)) => {
+            Ok(OrderReply::Conflict | OrderReply::Rejected(_)) => {
                 // An earlier copy of the order may have been carried out meanwhile.
                 let end = if comes_to_show(engine, order, show_pause_ms).await {
                     OrderOutcome::Done
@@ -122,8 +122,8 @@
 /// All ranks of a group make each pass together, so the `own` rank, whose word is fresh, tells which
 /// pass is next; what a rank says to another machine is some hundred milliseconds old.
 pub(crate) async fn execute_afar(
-    own: &dyn RankEngine,
-    target: &dyn RankEngine,
+    own: &dyn RankClient,
+    target: &dyn RankClient,
     order: &RankOrder,
     is_current: &dyn Fn() -> bool,
     log: &DecisionLog,
@@ -162,7 +162,7 @@
                 note(log, order, send, "conflict");
                 is_standing = !is_standing;
             }
-            Ok(OrderReply::Conflict | OrderReply::Unusable(_)) => {
+            Ok(OrderReply::Conflict | OrderReply::Rejected(_)) => {
                 note(log, order, send, "refused");
                 return ended(OrderOutcome::Refused);
             }
@@ -187,7 +187,7 @@
 /// Where ranks heed no fence, an order that is given again and again would outlive its leader, and arm a
 /// rank that the next one has just disarmed.
 async fn begin(
-    engine: &dyn RankEngine,
+    engine: &dyn RankClient,
     order: &RankOrder,
     send: u32,
     is_current: &dyn Fn() -> bool,
@@ -205,7 +205,7 @@
             return Begin::Unread;
         }
     };
-    if report.seat.as_ref().is_none_or(|seat| seat.epoch != order.epoch) {
+    if report.membership.as_ref().is_none_or(|membership| membership.epoch != order.epoch) {
         note(log, order, send, "other-epoch");
         return Begin::End(OrderOutcome::Refused);
     }
@@ -226,7 +226,7 @@
 /// A group stands meanwhile. The link of a small machine may be full for some tens of milliseconds, so
 /// that an answer is neither soon nor lost; giving up on it each time would never get one.
 async fn first_answer(
-    target: &dyn RankEngine,
+    target: &dyn RankClient,
     order: &EngineOrder,
     pace: Copies,
     sends: &mut u32,
@@ -260,14 +260,19 @@
 /// An order to prepare what a rank holds. Ranks do not compare maps; the other ranks' rows only make
 /// this one valid, and it is never switched to.
 async fn prepare_held(
-    engine: &dyn RankEngine,
+    engine: &dyn RankClient,
     report: &RankReport,
     version: u64,
     experts_per_layer: u16,
 ) -> Option<OrderKind> {
-    let seat = report.seat.as_ref()?;
-    let lists = engine.lists().await.ok()?;
-    let map = ExpertMap::from_known_rank(seat.rank, seat.ranks, &lists.experts, experts_per_layer);
+    let membership = report.membership.as_ref()?;
+    let lists = engine.held_experts().await.ok()?;
+    let map = ExpertMap::from_known_rank(
+        membership.rank,
+        membership.ranks,
+        &lists.experts,
+        experts_per_layer,
+    );
     Some(OrderKind::Prepare { version, map: Arc::new(map) })
 }
 
@@ -291,7 +296,7 @@
 }
 
 /// Whether a rank that has seen the fence of an order still holds the pass.
-async fn is_held(engine: &dyn RankEngine, order: &RankOrder) -> bool {
+async fn is_held(engine: &dyn RankClient, order: &RankOrder) -> bool {
     for _ in 0..SHOW_LOOKS {
         if let Ok(report) = engine.report().await {
             return shows(&report, order);
@@ -317,7 +322,7 @@
     }
 }
 
-async fn comes_to_show(engine: &dyn RankEngine, order: &RankOrder, show_pause_ms: u64) -> bool {
+async fn comes_to_show(engine: &dyn RankClient, order: &RankOrder, show_pause_ms: u64) -> bool {
     for _ in 0..SHOW_LOOKS {
         if let Ok(report) = engine.report().await
             && shows(&report, order)
--- a/crates/direct/src/agent/fleet.rs
+++ b/crates/direct/src/agent/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::boot_now;
 use crate::decision_log::DecisionLog;
-use crate::exchange::{self, Question};
+use crate::exchange::{self, ExchangeRequest};
 use crate::peer_call;
 use hickorycross_core::direct::{
     Adoption, BackendServer, CatalogState, GroupDimensions, PeerTable,
@@ -107,7 +107,8 @@
         let peer = fleet.peers.borrow().random_peer(&mut rand::rng());
         if let Some(peer) = peer {
             let version = fleet.catalog.borrow().version();
-            let question = Question { version, backends_as_of, ..Question::of_nothing() };
+            let question =
+                ExchangeRequest { version, backends_as_of, ..ExchangeRequest::of_nothing() };
             let sent_at = boot_now();
             match exchange::call(&client, peer, &question).await {
                 Ok(answer) => {
--- a/crates/direct/src/agent/hear.rs
+++ b/crates/direct/src/agent/hear.rs
@@ -120,7 +120,7 @@
     if member.own_group.borrow().is_none()
         && let Ok(report) = member.engine.report().await
     {
-        *member.own_group.borrow_mut() = report.seat.map(|seat| seat.group);
+        *member.own_group.borrow_mut() = report.membership.map(|membership| membership.group);
     }
     member.own_group.borrow().as_deref() == Some(group)
 }
--- a/crates/direct/src/agent/lead.rs
+++ b/crates/direct/src/agent/lead.rs
@@ -4,7 +4,7 @@
 use super::give::give;
 use super::link::LINE_MS;
 use super::member::Member;
-use super::rank::RankSeat;
+use super::rank::GroupMembership;
 use super::relay::Relays;
 use super::watchers::Watchers;
 use crate::clock::{boot_now, wall_ms};
@@ -143,8 +143,8 @@
     }
     member.leader_heard_at.set(now);
     let Ok(report) = member.engine.report().await else { return };
-    if let Some(seat) = report.seat {
-        begin(member, &seat, None);
+    if let Some(membership) = report.membership {
+        begin(member, &membership, None);
     }
 }
 
@@ -156,8 +156,8 @@
 /// The number of the own rank, asked for until it is known.
 async fn own_rank(member: &Member) -> Option<u16> {
     if member.own_rank.get().is_none() {
-        let seat = member.engine.report().await.ok()?.seat?;
-        member.own_rank.set(Some(seat.rank));
+        let membership = member.engine.report().await.ok()?.membership?;
+        member.own_rank.set(Some(membership.rank));
     }
     member.own_rank.get()
 }
@@ -170,25 +170,25 @@
 /// Begins to lead in place of the leader with `fence`, which went silent while a rank holds.
 pub(super) async fn take_over(member: &Member, fence: u64) {
     let Ok(report) = member.engine.report().await else { return };
-    let Some(seat) = report.seat else { return };
-    begin(member, &seat, rank_of(fence).filter(|rank| *rank != seat.rank));
+    let Some(membership) = report.membership else { return };
+    begin(member, &membership, rank_of(fence).filter(|rank| *rank != membership.rank));
     member.news.notify_one();
 }
 
-fn begin(member: &Member, seat: &RankSeat, instead_of: Option<u16>) {
-    member.own_rank.set(Some(seat.rank));
-    member.ranks_of_group.set(usize::from(seat.ranks));
-    *member.own_group.borrow_mut() = Some(seat.group.clone());
+fn begin(member: &Member, membership: &GroupMembership, instead_of: Option<u16>) {
+    member.own_rank.set(Some(membership.rank));
+    member.ranks_of_group.set(usize::from(membership.ranks));
+    *member.own_group.borrow_mut() = Some(membership.group.clone());
     let fence = (wall_ms() * FENCES_PER_MS).max(member.highest_fence.get() + FENCES_PER_MS);
-    let fence = fence / FENCES_PER_MS * FENCES_PER_MS + u64::from(seat.rank) % FENCES_PER_MS;
+    let fence = fence / FENCES_PER_MS * FENCES_PER_MS + u64::from(membership.rank) % FENCES_PER_MS;
     member.highest_fence.set(fence);
     let salt = rand::rng().random::<u64>();
-    let leader = Leader::new(&seat.group, seat.rank, fence, salt);
+    let leader = Leader::new(&membership.group, membership.rank, fence, salt);
     let leader = if instead_of.is_some() { leader.with_possible_hold(boot_now()) } else { leader };
     let leader = if member.heeds_fences { leader } else { leader.without_fences() };
     *member.leader.borrow_mut() = Some(leader);
-    let line = DecisionLog::fields("leader").with("fence", fence).with("rank", seat.rank);
-    let line = line.with_some("instead_of", instead_of).with("ranks", seat.ranks);
+    let line = DecisionLog::fields("leader").with("fence", fence).with("rank", membership.rank);
+    let line = line.with_some("instead_of", instead_of).with("ranks", membership.ranks);
     member.log.note(line.with("machines", member.fleet.machines().len()).with("outcome", "leads"));
 }
 
--- a/crates/direct/src/agent/member.rs
+++ b/crates/direct/src/agent/member.rs
@@ -4,7 +4,7 @@
 use super::datagram::Datagram;
 use super::fleet::Fleet;
 use super::link::{LinkLoad, Way};
-use super::rank::{ExpertCounts, RankEngine, RankEngines};
+use super::rank::{ExpertCounts, RankClient, RankClients};
 use super::silent::SilentRanks;
 use super::state::{Collecting, UnderWay, Watched};
 use crate::clock::boot_now;
@@ -20,8 +20,8 @@
 
 /// A member of a group.
 pub(crate) struct Member {
-    pub(crate) engine: Rc<dyn RankEngine>,
-    pub(crate) engines: Rc<dyn RankEngines>,
+    pub(crate) engine: Rc<dyn RankClient>,
+    pub(crate) engines: Rc<dyn RankClients>,
     /// Whether ranks refuse orders with an old fence.
     pub(super) heeds_fences: bool,
     pub(crate) fleet: Rc<Fleet>,
@@ -70,7 +70,7 @@
 
 impl Member {
     pub(crate) fn new(
-        engines: Rc<dyn RankEngines>,
+        engines: Rc<dyn RankClients>,
         heeds_fences: bool,
         backend: SocketAddr,
         fleet: Rc<Fleet>,
@@ -79,7 +79,7 @@
         port: u16,
     ) -> Rc<Self> {
         Rc::new(Self {
-            engine: engines.beside(backend),
+            engine: engines.local(backend),
             machine: backend.ip(),
             engines,
             heeds_fences,
--- a/crates/direct/src/agent/mod.rs
+++ b/crates/direct/src/agent/mod.rs
@@ -38,6 +38,6 @@
 
 pub use program::run_agent;
 pub use rank::{
-    ExpertCounts, ExpertLists, OrderReply, RankEngine, RankEngines, RankError, RankFuture,
-    RankReport, RankSeat,
+    ExpertCounts, GroupMembership, HeldExperts, OrderReply, RankClient, RankClients, RankError,
+    RankFuture, RankReport,
 };
--- a/crates/direct/src/agent/program.rs
+++ b/crates/direct/src/agent/program.rs
@@ -2,7 +2,7 @@
 
 use super::fleet::{self, Fleet};
 use super::member::Member;
-use super::rank::RankEngines;
+use super::rank::RankClients;
 use super::{bulk, hear, lead, stand_in, tell};
 use crate::decision_log::DecisionLog;
 use crate::operators::{self, AgentPages};
@@ -21,7 +21,7 @@
 /// no signals or threads.
 pub async fn run_agent(
     settings: ProcessSettings,
-    engines: Rc<dyn RankEngines>,
+    engines: Rc<dyn RankClients>,
     source: Box<dyn SettingsSource>,
 ) -> miette::Result<()> {
     let Process { exposition, log, mut signals, reload } = Process::start(source)?;
--- a/crates/direct/src/agent/rank.rs
+++ b/crates/direct/src/agent/rank.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RankReport {
     /// Its place in a group; `None` for a backend server that stands alone.
-    pub seat: Option<RankSeat>,
+    pub membership: Option<GroupMembership>,
     /// The last pass that was begun.
     pub step: u64,
     /// The map in use.
@@ -34,7 +34,7 @@
 
 /// A place in a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RankSeat {
+pub struct GroupMembership {
     /// The group.
     pub group: String,
     /// Its place.
@@ -60,7 +60,7 @@
 
 /// Experts that a rank holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ExpertLists {
+pub struct HeldExperts {
     /// The map in use.
     pub map: u64,
     /// Experts by layer.
@@ -77,7 +77,7 @@
     /// The rank has seen a higher fence.
     Fenced,
     /// The rank does not know such an order, or is another incarnation.
-    Unusable(u16),
+    Rejected(u16),
 }
 
 /// Why a call gave nothing.
@@ -92,7 +92,7 @@
 }
 
 /// Talks to one rank.
-pub trait RankEngine {
+pub trait RankClient {
     /// Reads the rank's report.
     fn report(&self) -> RankFuture<'_, RankReport>;
 
@@ -100,17 +100,17 @@
     fn counts(&self) -> RankFuture<'_, ExpertCounts>;
 
     /// Reads which experts the rank holds.
-    fn lists(&self) -> RankFuture<'_, ExpertLists>;
+    fn held_experts(&self) -> RankFuture<'_, HeldExperts>;
 
     /// Gives an order.
     fn order<'a>(&'a self, order: &'a EngineOrder) -> RankFuture<'a, OrderReply>;
 }
 
 /// Gives clients of ranks by their address, also of those on other machines.
-pub trait RankEngines {
+pub trait RankClients {
     /// The client of the rank at `address` on the own machine, which answers within milliseconds.
-    fn beside(&self, address: SocketAddr) -> Rc<dyn RankEngine>;
+    fn local(&self, address: SocketAddr) -> Rc<dyn RankClient>;
 
     /// The client of the rank at `address` on another machine.
-    fn at(&self, address: SocketAddr) -> Rc<dyn RankEngine>;
+    fn remote(&self, address: SocketAddr) -> Rc<dyn RankClient>;
 }
--- a/crates/direct/src/agent/silent.rs
+++ b/crates/direct/src/agent/silent.rs
@@ -5,7 +5,7 @@
 //! gives it orders over the network. That costs more than on the own machine, so it is done only
 //! while an agent is silent.
 
-use super::rank::RankEngine;
+use super::rank::RankClient;
 use crate::clock::boot_now;
 use hickorycross_core::direct::BootMs;
 use hickorycross_core::map_change::LastContact;
@@ -20,7 +20,7 @@
 /// Ranks that are read and ordered from afar, and when agents of machines were heard.
 #[derive(Default)]
 pub(crate) struct SilentRanks {
-    pub(super) engines: RefCell<IndexMap<u16, Rc<dyn RankEngine>>>,
+    pub(super) engines: RefCell<IndexMap<u16, Rc<dyn RankClient>>>,
     heard_at: RefCell<IndexMap<IpAddr, BootMs>>,
     /// The machine of the leader whose place this agent took last, and when.
     given_up: Cell<Option<(IpAddr, BootMs)>>,
@@ -50,7 +50,7 @@
     }
 
     /// The client of a rank whose agent is silent.
-    pub(crate) fn engine(&self, rank: u16) -> Option<Rc<dyn RankEngine>> {
+    pub(crate) fn engine(&self, rank: u16) -> Option<Rc<dyn RankClient>> {
         self.engines.borrow().get(&rank).cloned()
     }
 
--- a/crates/direct/src/agent/stand_in.rs
+++ b/crates/direct/src/agent/stand_in.rs
@@ -48,7 +48,7 @@
 }
 
 async fn read(member: Rc<Member>, address: SocketAddr) {
-    let engine = member.engines.at(address);
+    let engine = member.engines.remote(address);
     let report = match engine.report().await {
         Ok(report) => report,
         Err(error) => {
--- a/crates/direct/src/agent/status.rs
+++ b/crates/direct/src/agent/status.rs
@@ -24,7 +24,7 @@
     let experts = if known_map == Some(told.map) {
         None
     } else {
-        let lists = member.engine.lists().await.ok()?;
+        let lists = member.engine.held_experts().await.ok()?;
         (lists.map == told.map).then_some(lists.experts)
     };
     let highest_fence = member.highest_fence.get();
@@ -54,13 +54,13 @@
 
 /// What a rank's report alone says of it: nothing that its agent knows.
 pub(crate) fn status_of(report: RankReport) -> Option<RankStatus> {
-    let seat = report.seat?;
+    let membership = report.membership?;
     Some(RankStatus {
-        group: seat.group,
-        rank: seat.rank,
-        ranks: seat.ranks,
-        epoch: seat.epoch,
-        is_open: seat.is_open,
+        group: membership.group,
+        rank: membership.rank,
+        ranks: membership.ranks,
+        epoch: membership.epoch,
+        is_open: membership.is_open,
         step: report.step,
         map: report.map,
         prepared: report.prepared,
--- a/crates/direct/src/agent/tell.rs
+++ b/crates/direct/src/agent/tell.rs
@@ -7,7 +7,7 @@
 use super::member::Member;
 use crate::clock::boot_now;
 use crate::decision_log::DecisionLog;
-use crate::exchange::{self, BackendWord, Question, Said};
+use crate::exchange::{self, BackendWord, ExchangeRequest, Said};
 use crate::peer_call;
 use hickorycross_core::map_change::{Reachability, SilenceDetector, machines_to_monitor};
 use std::net::SocketAddr;
@@ -78,7 +78,7 @@
 }
 
 async fn tell(client: reqwest::Client, entry: SocketAddr, word: BackendWord) {
-    let question = Question { word: Some(word), ..Question::of_nothing() };
+    let question = ExchangeRequest { word: Some(word), ..ExchangeRequest::of_nothing() };
     if exchange::call(&client, entry, &question).await.is_err() {
         metrics::counter!("hickorycross_exchange_failures_total").increment(1);
     }
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -6,10 +6,10 @@
 
 use crate::clock::boot_now;
 use crate::decision_log::DecisionLog;
-use crate::follow::offer;
+use crate::gossip::{GossipReport, receive_reports};
 use crate::peer_call::{PeerCallError, post};
-use crate::spread::{SharedWord, hear};
 use crate::state::EntryState;
+use crate::store_watch::offer;
 use futures_util::future::join_all;
 use hickorycross_core::direct::{BackendServer, BootMs, Catalog};
 use serde::{Deserialize, Serialize};
@@ -47,7 +47,7 @@
 
 /// A question to a peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Question {
+pub(crate) struct ExchangeRequest {
     /// Where the asker answers, if it does.
     pub(crate) from: Option<SocketAddr>,
     /// Version of the configuration that the asker has.
@@ -57,12 +57,12 @@
     /// What an agent says of a backend server.
     pub(crate) word: Option<BackendWord>,
     /// What the asker tells.
-    pub(crate) shared: Vec<SharedWord>,
+    pub(crate) shared: Vec<GossipReport>,
     /// The asker's sum over the words that it has, if it wants those that it lacks.
     pub(crate) shared_sum: Option<u64>,
 }
 
-impl Question {
+impl ExchangeRequest {
     /// A question that brings nothing back but who else is there.
     pub(crate) const fn of_nothing() -> Self {
         Self {
@@ -102,7 +102,7 @@
 
 /// A peer's answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Answer {
+pub(crate) struct ExchangeResponse {
     /// Version in force at the peer.
     pub(crate) version: u64,
     /// Since when the peer's word is confirmed by the store, if ever.
@@ -116,11 +116,11 @@
     /// Members, each with the time since it was heard of.
     pub(crate) members: Vec<(SocketAddr, u64)>,
     /// All that the peer knows of requests, when the asker knows something else.
-    pub(crate) shared: Vec<SharedWord>,
+    pub(crate) shared: Vec<GossipReport>,
 }
 
 /// Answers a peer's question.
-pub(crate) fn answer(state: &EntryState, question: &Question) -> Answer {
+pub(crate) fn handle_request(state: &EntryState, question: &ExchangeRequest) -> ExchangeResponse {
     let now = boot_now();
     if let Some(from) = question.from {
         note_member(state, from, now);
@@ -128,7 +128,7 @@
     if let Some(word) = question.word {
         note_word(state, word, now);
     }
-    hear(state, &question.shared, true);
+    receive_reports(state, &question.shared, true);
     let belief = state.catalog.borrow();
     let newer = belief.catalog().filter(|catalog| catalog.version > question.version);
     let backends_as_of = state.backends_as_of.get();
@@ -136,7 +136,7 @@
     let backends = is_newer.then(|| state.backends.borrow().servers().cloned().collect());
     let peers = state.peers.borrow().most_recent(MOST_MEMBERS);
     let members = peers.iter().map(|peer| (peer.address, now.since(peer.last_seen_at)));
-    Answer {
+    ExchangeResponse {
         version: belief.version(),
         age_ms: belief.age_ms(now),
         catalog: newer.map(|catalog| Catalog::clone(catalog)),
@@ -164,9 +164,14 @@
 }
 
 /// Takes over a peer's answer to a question sent at `sent_at`.
-pub(crate) fn take_over(state: &EntryState, peer: SocketAddr, answer: Answer, sent_at: BootMs) {
+pub(crate) fn take_over(
+    state: &EntryState,
+    peer: SocketAddr,
+    answer: ExchangeResponse,
+    sent_at: BootMs,
+) {
     note_member(state, peer, boot_now());
-    hear(state, &answer.shared, false);
+    receive_reports(state, &answer.shared, false);
     // Peers that live know the same.
     state.has_asked_peers.set(true);
     for (address, silent_ms) in answer.members {
@@ -198,7 +203,7 @@
 
 /// Asks peers for ever: all that are known at the start, then one at a time, often while the own word is
 /// old, now and then otherwise.
-pub(crate) async fn follow_peers(state: Rc<EntryState>) {
+pub(crate) async fn exchange_with_peers(state: Rc<EntryState>) {
     let mut asked = 0;
     let first = state.peers.borrow().candidates();
     let asking = first.into_iter().map(|peer| ask(Rc::clone(&state), peer));
@@ -238,24 +243,24 @@
 
 async fn ask(state: Rc<EntryState>, peer: SocketAddr) {
     let shared_sum = Some(state.words_sum());
-    exchange_with(&state, peer, Question { shared_sum, ..question(&state) }).await;
+    exchange_with(&state, peer, ExchangeRequest { shared_sum, ..question(&state) }).await;
 }
 
 /// Tells a peer what entries tell each other.
-pub(crate) async fn tell(state: Rc<EntryState>, peer: SocketAddr, shared: Vec<SharedWord>) {
-    exchange_with(&state, peer, Question { shared, ..question(&state) }).await;
+pub(crate) async fn tell(state: Rc<EntryState>, peer: SocketAddr, shared: Vec<GossipReport>) {
+    exchange_with(&state, peer, ExchangeRequest { shared, ..question(&state) }).await;
 }
 
-fn question(state: &EntryState) -> Question {
-    Question {
+fn question(state: &EntryState) -> ExchangeRequest {
+    ExchangeRequest {
         from: state.settings.borrow().listen.control,
         version: state.catalog.borrow().version(),
         backends_as_of: state.backends_as_of.get(),
-        ..Question::of_nothing()
+        ..ExchangeRequest::of_nothing()
     }
 }
 
-async fn exchange_with(state: &EntryState, peer: SocketAddr, question: Question) {
+async fn exchange_with(state: &EntryState, peer: SocketAddr, question: ExchangeRequest) {
     let sent_at = boot_now();
     match call(&state.client, peer, &question).await {
         Ok(answer) => take_over(state, peer, answer, sent_at),
@@ -271,7 +276,7 @@
 pub(crate) async fn call(
     client: &reqwest::Client,
     peer: SocketAddr,
-    question: &Question,
-) -> Result<Answer, PeerCallError> {
+    question: &ExchangeRequest,
+) -> Result<ExchangeResponse, PeerCallError> {
     post(client, peer, EXCHANGE_PATH, question).await
 }
--- a/crates/direct/src/forward/crash.rs
+++ b/crates/direct/src/forward/crash.rs
@@ -3,7 +3,7 @@
 use super::life::Life;
 use crate::callers::Refusal;
 use crate::clock::boot_now;
-use crate::spread::{SharedWord, note_request_word};
+use crate::gossip::{GossipReport, log_request_report};
 use crate::state::EntryState;
 use hickorycross_core::Verdict;
 use hickorycross_core::direct::{
@@ -106,8 +106,8 @@
         return;
     }
     metrics::counter!("hickorycross_backend_servers_ended_under_requests_total").increment(1);
-    note_request_word(state, word, "ended-here");
-    state.outbox.add(SharedWord::Request(word), now);
+    log_request_report(state, word, "ended-here");
+    state.outbox.add(GossipReport::Request(word), now);
 }
 
 /// Notes that a backend server answered a request, and tells others if one was thought to have ended
@@ -116,7 +116,7 @@
     let now = boot_now();
     if state.crashes.borrow_mut().note_answered(digest, now) {
         let word = RequestReport { digest, seen: RequestObservation::Answered, age_ms: 0 };
-        note_request_word(state, word, "answered-here");
-        state.outbox.add(SharedWord::Request(word), now);
+        log_request_report(state, word, "answered-here");
+        state.outbox.add(GossipReport::Request(word), now);
     }
 }
--- a/crates/direct/src/forward/life.rs
+++ b/crates/direct/src/forward/life.rs
@@ -6,7 +6,7 @@
 use super::stream;
 use crate::callers::{AnswerBody, CallerRequest, Refusal, whole};
 use crate::clock::boot_now;
-use crate::spread::tell_quiet;
+use crate::gossip::gossip_quiet_rank;
 use crate::state::EntryState;
 use bytes::Bytes;
 use hickorycross_core::Verdict;
@@ -306,7 +306,7 @@
         drop(backends);
         self.note_attempt_end(&server.id, end, paused_until.is_some());
         if let Some(word) = quiet {
-            tell_quiet(&self.state, word, "quiet-here");
+            gossip_quiet_rank(&self.state, word, "quiet-here");
         }
         match end {
             AttemptEnd::TimedOut => self.note_unbegun(),
--- a/crates/direct/src/forward/limit.rs
+++ b/crates/direct/src/forward/limit.rs
@@ -3,8 +3,8 @@
 use super::life::Life;
 use crate::clock::boot_now;
 use crate::decision_log::DecisionLog;
+use crate::gossip::{GossipReport, log_limit_report};
 use crate::limit_share;
-use crate::spread::{SharedWord, note_limit_word};
 use crate::state::EntryState;
 use hickorycross_core::direct::{BackendServer, IncarnationDigest, LimitReport};
 use http::HeaderMap;
@@ -21,8 +21,8 @@
     let word = LimitReport { incarnation, millirequests_per_s, age_ms: 0 };
     let now = boot_now();
     if state.limits.borrow_mut().note(word, now) {
-        note_limit_word(state, word, Some(&server.id));
-        state.outbox.add(SharedWord::Limit(word), now);
+        log_limit_report(state, word, Some(&server.id));
+        state.outbox.add(GossipReport::Limit(word), now);
     }
 }
 
@@ -60,7 +60,7 @@
             } else if !permits.has_permit(word.incarnation, now)
                 && let Some(wanted) = permits.note_denied(word.incarnation, now)
             {
-                let asking = limit_share::ask(Rc::clone(&self.state), word, wanted);
+                let asking = limit_share::request_permits(Rc::clone(&self.state), word, wanted);
                 tokio::task::spawn_local(asking);
             }
         }
--- a/crates/direct/src/spread.rs
+++ b/crates/direct/src/gossip.rs
@@ -37,7 +37,7 @@
 
 /// What entries tell each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum SharedWord {
+pub(crate) enum GossipReport {
     /// What was seen of a request.
     Request(RequestReport),
     /// What a backend server in need takes.
@@ -46,7 +46,7 @@
     Quiet(QuietReport),
 }
 
-impl SharedWord {
+impl GossipReport {
     /// The same word `span_ms` later.
     const fn aged(self, span_ms: u64) -> Self {
         match self {
@@ -72,14 +72,14 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Outgoing {
-    word: SharedWord,
+    word: GossipReport,
     noted_at: BootMs,
     rounds_left: u32,
 }
 
 impl Outbox {
     /// Adds a word; when there is no room the oldest one goes.
-    pub(crate) fn add(&self, word: SharedWord, now: BootMs) {
+    pub(crate) fn add(&self, word: GossipReport, now: BootMs) {
         let mut waiting = self.waiting.borrow_mut();
         if waiting.len() >= MOST_WAITING {
             waiting.pop_front();
@@ -89,7 +89,7 @@
     }
 
     /// Words of the next round, with their present age.
-    fn next_round(&self, now: BootMs) -> Vec<SharedWord> {
+    fn next_round(&self, now: BootMs) -> Vec<GossipReport> {
         let mut waiting = self.waiting.borrow_mut();
         let count = waiting.len().min(MOST_WORDS);
         let mut words = Vec::with_capacity(count);
@@ -105,7 +105,7 @@
 }
 
 /// Tells peers what is in the outbox, for ever.
-pub(crate) async fn spread(state: Rc<EntryState>) {
+pub(crate) async fn run(state: Rc<EntryState>) {
     loop {
         let words = state.outbox.next_round(boot_now());
         if words.is_empty() {
@@ -122,12 +122,12 @@
 }
 
 /// Takes over words of a peer, passing on what is new if it was pushed here.
-pub(crate) fn hear(state: &EntryState, words: &[SharedWord], passes_on: bool) {
+pub(crate) fn receive_reports(state: &EntryState, words: &[GossipReport], passes_on: bool) {
     for word in words {
         match word {
-            SharedWord::Request(word) => hear_of_request(state, *word, passes_on),
-            SharedWord::Limit(word) => hear_of_limit(state, *word, passes_on),
-            SharedWord::Quiet(word) => hear_of_quiet(state, *word),
+            GossipReport::Request(word) => hear_of_request(state, *word, passes_on),
+            GossipReport::Limit(word) => hear_of_limit(state, *word, passes_on),
+            GossipReport::Quiet(word) => hear_of_quiet(state, *word),
         }
     }
 }
@@ -140,7 +140,7 @@
         ReportOutcome::New => "heard",
         ReportOutcome::Contradicted => "answered-here",
     };
-    note_request_word(state, word, outcome);
+    log_request_report(state, word, outcome);
     let told = match word_outcome {
         ReportOutcome::Contradicted => {
             RequestReport { seen: RequestObservation::Answered, age_ms: 0, ..word }
@@ -148,7 +148,7 @@
         _ => word,
     };
     if passes_on || word_outcome == ReportOutcome::Contradicted {
-        state.outbox.add(SharedWord::Request(told), now);
+        state.outbox.add(GossipReport::Request(told), now);
     }
 }
 
@@ -157,27 +157,27 @@
     if !state.limits.borrow_mut().note(word, now) {
         return;
     }
-    note_limit_word(state, word, None);
+    log_limit_report(state, word, None);
     if passes_on {
-        state.outbox.add(SharedWord::Limit(word), now);
+        state.outbox.add(GossipReport::Limit(word), now);
     }
 }
 
 fn hear_of_quiet(state: &EntryState, word: QuietReport) {
     if state.backends.borrow_mut().note_quiet_report(word, boot_now()) {
-        tell_quiet(state, word, "quiet");
+        gossip_quiet_rank(state, word, "quiet");
     }
 }
 
 /// Passes a word on for a rank that was found quiet, and says so.
-pub(crate) fn tell_quiet(state: &EntryState, word: QuietReport, outcome: &'static str) {
+pub(crate) fn gossip_quiet_rank(state: &EntryState, word: QuietReport, outcome: &'static str) {
     let line = DecisionLog::fields("backend-server").with("address", word.address);
     state.log.note(line.with("age_ms", word.age_ms).with("outcome", outcome));
-    state.outbox.add(SharedWord::Quiet(word), boot_now());
+    state.outbox.add(GossipReport::Quiet(word), boot_now());
 }
 
 /// Says what a backend server takes; `id` names the one that said so to this entry itself.
-pub(crate) fn note_limit_word(state: &EntryState, word: LimitReport, id: Option<&str>) {
+pub(crate) fn log_limit_report(state: &EntryState, word: LimitReport, id: Option<&str>) {
     let line = DecisionLog::fields("backend-server").with_some("incarnation", id);
     let line = line.with("backend_digest", word.incarnation).with("age_ms", word.age_ms);
     let line = line.with_some("limit_millirequests_per_s", word.millirequests_per_s);
@@ -186,7 +186,7 @@
 }
 
 /// Says what is believed of a request under which a backend server is said to have ended.
-pub(crate) fn note_request_word(state: &EntryState, word: RequestReport, outcome: &'static str) {
+pub(crate) fn log_request_report(state: &EntryState, word: RequestReport, outcome: &'static str) {
     let crashes = state.crashes.borrow();
     metrics::gauge!("hickorycross_requests_refused_for_crashes")
         .set(crashes.refused_count() as f64);
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -4,7 +4,7 @@
 //!   decides stands in `hickorycross_core::direct`.
 //! - [`run_agent`] stands beside a backend server that is a rank of a group, and keeps one expert
 //!   map in every pass of the group together with the other agents.
-//! - [`SharedStore`] and [`RankEngine`] are what a platform must give: the operators' configuration
+//! - [`SharedStore`] and [`RankClient`] are what a platform must give: the operators' configuration
 //!   with the list of backend servers, and the ranks' own words. [`WireNames`] are the names that
 //!   its requests carry.
 //! - [`ProcessSettings`] is what a process must know at its start.
@@ -15,22 +15,22 @@
 mod decision_log;
 mod entry;
 mod exchange;
-mod follow;
 mod forward;
+mod gossip;
 mod limit_share;
 mod operators;
 mod peer_call;
 mod process;
 mod reload;
 mod settings;
-mod spread;
 mod state;
 mod store;
+mod store_watch;
 mod wire_names;
 
 pub use agent::{
-    ExpertCounts, ExpertLists, OrderReply, RankEngine, RankEngines, RankError, RankFuture,
-    RankReport, RankSeat, run_agent,
+    ExpertCounts, GroupMembership, HeldExperts, OrderReply, RankClient, RankClients, RankError,
+    RankFuture, RankReport, run_agent,
 };
 pub use clock::{boot_now, wall_ms};
 pub use decision_log::{DecisionLog, Fields};
--- a/crates/direct/src/limit_share.rs
+++ b/crates/direct/src/limit_share.rs
@@ -2,8 +2,8 @@
 
 use crate::clock::boot_now;
 use crate::decision_log::DecisionLog;
+use crate::gossip::{GossipReport, receive_reports};
 use crate::peer_call::{self, PeerCallError};
-use crate::spread::{SharedWord, hear};
 use crate::state::EntryState;
 use hickorycross_core::direct::{
     BootMs, IncarnationDigest, LimitGrant, LimitReport, granting_entry,
@@ -28,7 +28,7 @@
 
 /// A question for permits.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct LimitQuestion {
+pub(crate) struct PermitRequest {
     asker: SocketAddr,
     /// What the asker knows of the limit.
     word: LimitReport,
@@ -40,7 +40,7 @@
 
 /// An answer to a question for permits.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(crate) enum LimitAnswer {
+pub(crate) enum PermitResponse {
     /// What is granted.
     Granted(LimitGrant),
     /// Another entry grants.
@@ -90,15 +90,15 @@
 }
 
 /// Answers a question for permits.
-pub(crate) fn answer(state: &EntryState, question: &LimitQuestion) -> LimitAnswer {
-    let LimitQuestion { asker, word, wanted, ref silent } = *question;
+pub(crate) fn handle_request(state: &EntryState, question: &PermitRequest) -> PermitResponse {
+    let PermitRequest { asker, word, wanted, ref silent } = *question;
     state.silent_entries.hear(silent);
-    hear(state, &[SharedWord::Limit(word)], true);
+    receive_reports(state, &[GossipReport::Limit(word)], true);
     let own = state.settings.borrow().listen.control;
     let granting = own.map(|own| granting(state, own, word.incarnation));
     match granting {
-        Some(entry) if Some(entry) != own && entry != asker => LimitAnswer::Ask(entry),
-        _ => LimitAnswer::Granted(grant(state, word.incarnation, asker, wanted)),
+        Some(entry) if Some(entry) != own && entry != asker => PermitResponse::Ask(entry),
+        _ => PermitResponse::Granted(grant(state, word.incarnation, asker, wanted)),
     }
 }
 
@@ -119,7 +119,7 @@
 }
 
 /// Asks for permits, and takes over what is granted.
-pub(crate) async fn ask(state: Rc<EntryState>, word: LimitReport, wanted: u32) {
+pub(crate) async fn request_permits(state: Rc<EntryState>, word: LimitReport, wanted: u32) {
     let incarnation = word.incarnation;
     let asked_at = boot_now();
     let Some(own) = state.settings.borrow().listen.control else { return };
@@ -144,12 +144,12 @@
             return Some(grant(state, word.incarnation, own, wanted));
         }
         let silent = state.silent_entries.all();
-        let question = LimitQuestion { asker: own, word, wanted, silent };
-        let answer: Result<LimitAnswer, PeerCallError> =
+        let question = PermitRequest { asker: own, word, wanted, silent };
+        let answer: Result<PermitResponse, PeerCallError> =
             peer_call::post(&state.client, entry, LIMIT_SHARE_PATH, &question).await;
         match answer {
-            Ok(LimitAnswer::Granted(grant)) => return Some(grant),
-            Ok(LimitAnswer::Ask(other)) => entry = other,
+            Ok(PermitResponse::Granted(grant)) => return Some(grant),
+            Ok(PermitResponse::Ask(other)) => entry = other,
             Err(error) => {
                 state.silent_entries.note(entry);
                 let line = DecisionLog::fields("member").with("peer", entry);
--- a/crates/direct/src/operators.rs
+++ b/crates/direct/src/operators.rs
@@ -61,10 +61,10 @@
             match (request.method(), path) {
                 (&Method::GET, METRICS_PATH) => metrics_page(&self.exposition),
                 (&Method::POST, EXCHANGE_PATH) => {
-                    answer_peer(&self.state, request, exchange::answer).await
+                    answer_peer(&self.state, request, exchange::handle_request).await
                 }
                 (&Method::POST, LIMIT_SHARE_PATH) => {
-                    answer_peer(&self.state, request, limit_share::answer).await
+                    answer_peer(&self.state, request, limit_share::handle_request).await
                 }
                 _ => no_such_page(),
             }
--- a/crates/direct/src/state.rs
+++ b/crates/direct/src/state.rs
@@ -2,12 +2,12 @@
 
 use crate::clock::boot_now;
 use crate::decision_log::DecisionLog;
-use crate::follow::CATALOG_WAIT_MS;
 use crate::forward::{Pool, Suspicions};
+use crate::gossip::{GossipReport, Outbox};
 use crate::limit_share::SilentEntries;
 use crate::peer_call;
 use crate::settings::ProcessSettings;
-use crate::spread::{Outbox, SharedWord};
+use crate::store_watch::CATALOG_WAIT_MS;
 use crate::wire_names::WireNames;
 use hickorycross_core::direct::{
     Admission, AdmissionSettings, BackendLimits, BackendTable, BootMs, CatalogState, CrashTable,
@@ -215,12 +215,12 @@
     }
 
     /// All words of this entry, for a peer whose words have another sum.
-    pub(crate) fn words_for(&self, sum: Option<u64>, now: BootMs) -> Vec<SharedWord> {
+    pub(crate) fn words_for(&self, sum: Option<u64>, now: BootMs) -> Vec<GossipReport> {
         if sum.is_none_or(|sum| sum == self.words_sum()) {
             return Vec::new();
         }
-        let requests = self.crashes.borrow().reports(now).into_iter().map(SharedWord::Request);
-        let limits = self.limits.borrow().reports(now).into_iter().map(SharedWord::Limit);
+        let requests = self.crashes.borrow().reports(now).into_iter().map(GossipReport::Request);
+        let limits = self.limits.borrow().reports(now).into_iter().map(GossipReport::Limit);
         requests.chain(limits).collect()
     }
 
--- a/crates/direct/src/follow.rs
+++ b/crates/direct/src/store_watch.rs
@@ -69,16 +69,16 @@
 }
 
 /// Follows the configuration for ever.
-pub(crate) async fn follow_catalog(state: Rc<EntryState>, store: Rc<dyn SharedStore>) {
+pub(crate) async fn watch_catalog(state: Rc<EntryState>, store: Rc<dyn SharedStore>) {
     let mut contact = Contact::default();
     loop {
-        let Err(error) = follow_catalog_once(&state, &*store, &mut contact).await;
+        let Err(error) = watch_catalog_once(&state, &*store, &mut contact).await;
         contact.note_failure(&state.log, "configuration", &error);
         pause_after(&state, &error, CATALOG_PAUSE_MS).await;
     }
 }
 
-async fn follow_catalog_once(
+async fn watch_catalog_once(
     state: &EntryState,
     store: &dyn SharedStore,
     contact: &mut Contact,
@@ -136,16 +136,16 @@
 }
 
 /// Follows the list of backend servers for ever.
-pub(crate) async fn follow_backends(state: Rc<EntryState>, store: Rc<dyn SharedStore>) {
+pub(crate) async fn watch_backends(state: Rc<EntryState>, store: Rc<dyn SharedStore>) {
     let mut contact = Contact::default();
     loop {
-        let Err(error) = follow_backends_once(&state, &*store, &mut contact).await;
+        let Err(error) = watch_backends_once(&state, &*store, &mut contact).await;
         contact.note_failure(&state.log, "backend-servers", &error);
         pause_after(&state, &error, BACKENDS_PAUSE_MS).await;
     }
 }
 
-async fn follow_backends_once(
+async fn watch_backends_once(
     state: &EntryState,
     store: &dyn SharedStore,
     contact: &mut Contact,
