--- a/crates/direct/src/agent/datagram.rs
+++ b/crates/direct/src/agent/datagram.rs
@@ -1,6 +1,7 @@
-//! What agents of a group say to each other, one datagram a message.
+//! Messages between the agents of a group and their encoding, one message per UDP datagram.
 //!
-//! Datagrams need no connection that could go silent; what is lost is asked for again.
+//! UDP has no connection state that could go stale when an instance freezes. Lost messages are
+//! recovered because the leader repeats its polls and orders.
 
 use hickorycross_core::map_change::{CollectedStatuses, OrderResult, RankOrder, RankStatus};
 use miniz_oxide::deflate::compress_to_vec;
@@ -8,200 +9,211 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Longest message before it is deflated: a map of 512 ranks with 16 layers of 5 slots and 2 bytes a slot, or
-/// as many counts, twice over.
-const MOST_BYTES: usize = 256 * 1024;
+/// Maximum length of a message before compression: twice the size of a map of 512 ranks with 16
+/// layers of 5 slots and 2 bytes per slot, or of as many counts.
+const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 
-/// Longest datagram that the network carries.
-pub(crate) const MOST_DATAGRAM_BYTES: usize = 65_507;
+/// Maximum payload of a UDP datagram over IPv4.
+pub(crate) const MAX_DATAGRAM_BYTES: usize = 65_507;
 
-/// Messages from this length on are deflated: choices of experts and maps. Shorter ones do not get
-/// shorter by it.
-const DEFLATED_FROM_BYTES: usize = 300;
+/// Length from which messages are compressed, which covers expert counts and maps. Compression does
+/// not shrink shorter ones.
+const MIN_DEFLATED_BYTES: usize = 300;
 
-/// Few bits a number is all that can be won; higher levels look for repetitions that are not there.
+/// Compression level. The gain comes from small numbers taking few bits; higher levels search for
+/// repetitions, of which there are none.
 const DEFLATE_LEVEL: u8 = 1;
 
-/// Length from which an order counts as long: more than one packet of the network.
-const LONG_FROM_BYTES: usize = 1_400;
+/// Length from which an order counts as long: it no longer fits into one network packet.
+const LONG_ORDER_BYTES: usize = 1_400;
 
-/// First byte of a message as it is.
+/// First byte of an uncompressed message.
 const PLAIN: u8 = 0;
-/// First byte of a deflated one.
+/// First byte of a compressed message.
 const DEFLATED: u8 = 1;
 
-/// Why a datagram holds no message.
+/// Reason why a datagram cannot be decoded.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum Unreadable {
-    /// Neither plain nor deflated.
-    #[error("unknown first byte")]
-    UnknownForm,
-    /// It does not inflate, or to more than [`MOST_BYTES`].
-    #[error("does not inflate: {0:?}")]
-    Deflated(DecompressError),
-    /// It holds something else.
+pub(crate) enum DecodeError {
+    /// The first byte denotes no known encoding, or the datagram is empty.
+    #[error("unknown encoding")]
+    UnknownEncoding,
+    /// Decompression failed, or the result exceeds [`MAX_MESSAGE_BYTES`].
+    #[error("decompression failed: {0:?}")]
+    Inflate(DecompressError),
+    /// The content is not a [`Datagram`].
     #[error(transparent)]
-    Message(#[from] postcard::Error),
+    Content(#[from] postcard::Error),
 }
 
-/// One of the agents to which an order is passed on.
+/// An agent to which an order is relayed.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(crate) struct Leg {
-    /// Where the agent is.
+pub(crate) struct RelayTarget {
+    /// Address of the agent.
     pub(crate) agent: SocketAddr,
-    /// Names its order.
+    /// Number of the order for this agent.
     pub(crate) number: u64,
 }
 
-/// A leader's question, which also says that it leads.
+/// A request of the leader for a status, which also announces that it leads.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Poll {
-    /// The group that is led. A service may have several.
+    /// Name of the leader's group. A service may have several.
     pub(crate) group: String,
-    /// The leader's fence.
+    /// Fencing number of the leader.
     pub(crate) fence: u64,
-    /// The map whose experts it knows.
+    /// Version of the map that the leader knows completely. A rank that uses it omits its experts.
     pub(crate) known_map: Option<u64>,
-    /// Whether the choices of experts are asked for.
+    /// Whether the status is to contain expert counts.
     pub(crate) wants_counts: bool,
-    /// That the agent is to take over when such polls stop.
-    pub(crate) watch: Option<Watch>,
-    /// Whether any agent is: no pass is held otherwise, nor about to be.
+    /// Set if the agent is to take over when these polls stop.
+    pub(crate) watch: Option<WatchAssignment>,
+    /// Whether any agent watches the leader. If not, no pass is held or about to be held.
     pub(crate) is_watched: bool,
 }
 
-/// Names an agent that watches a leader for which a rank holds a pass, or is about to.
+/// Asks an agent to watch the leader while a rank holds a pass for it or is about to.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(crate) struct Watch {
-    /// How many other agents take over sooner; none for that of the rank that holds.
-    pub(crate) place: u8,
-    /// Whether a change goes on for which this agent alone orders the rank beside the leader to switch.
+pub(crate) struct WatchAssignment {
+    /// Number of agents that take over before this one; 0 for the agent of the rank that holds the
+    /// pass.
+    #[serde(rename = "place")]
+    pub(crate) predecessors: u8,
+    /// Whether this agent is the witness of a map change in progress: it alone arms the leader's
+    /// own rank.
     pub(crate) is_witness: bool,
 }
 
 /// A message between agents.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Datagram {
-    /// The leader asks for a status.
+    /// Request of the leader for the status of one rank.
     Poll(Poll),
-    /// The leader asks for the statuses of a section of its group.
+    /// Request of the leader to collect the statuses of a section of its group.
     Collect {
-        /// The section, by the leader's number.
+        /// Number that the leader gave to the section.
         section: u16,
-        /// What is asked.
+        /// The poll to send to the agents of the section.
         poll: Poll,
-        /// The other agents of the section.
+        /// Addresses of the other agents of the section.
         others: Vec<SocketAddr>,
     },
-    /// An agent asks for a status that it collects for the leader.
-    PollPart(Poll),
-    /// An agent's answer to that.
-    Part(RankStatus),
-    /// What an agent has collected.
+    /// Request of an agent that collects statuses for the leader.
+    #[serde(rename = "PollPart")]
+    SectionPoll(Poll),
+    /// Answer to a `SectionPoll`.
+    #[serde(rename = "Part")]
+    SectionStatus(RankStatus),
+    /// The statuses that an agent has collected, sent to the leader.
     Collected(CollectedStatuses),
-    /// An agent's answer to a poll.
+    /// Answer to a `Poll`.
     Status(RankStatus),
-    /// The leader gives an order.
+    /// Order of the leader to the rank of the receiving agent.
     Order {
-        /// Names the order.
+        /// Number of the order, unique per leader.
         number: u64,
         /// The order.
         order: RankOrder,
     },
-    /// The leader gives an order, which the agent also passes on to others.
+    /// Order of the leader that the receiving agent carries out and relays to other agents.
     Relay {
-        /// Names the order to the agent's own rank.
+        /// Number of the order for the receiving agent's own rank.
         number: u64,
-        /// The order to all of them.
+        /// The order, the same for all these ranks.
         order: RankOrder,
-        /// The others.
-        legs: Vec<Leg>,
+        /// The agents to which the order is relayed.
+        #[serde(rename = "legs")]
+        targets: Vec<RelayTarget>,
     },
-    /// An order that another agent passes on.
+    /// Order that another agent relays for the leader.
     Relayed {
-        /// Where the leader is, who is told of the order's end.
+        /// Address of the leader, to which the result is sent.
         leader: SocketAddr,
-        /// Names the order.
+        /// Number of the order.
         number: u64,
         /// The order.
         order: RankOrder,
     },
-    /// The leader asks the agent of the rank that holds to arm the rank beside the leader.
-    ArmBeside {
-        /// The rank beside the leader.
+    /// Request of the leader to the agent of the rank that holds a pass: arm the leader's own rank.
+    #[serde(rename = "ArmBeside")]
+    ArmLeaderRank {
+        /// The leader's own rank.
         rank: u16,
-        /// Names the order.
+        /// Number of the order.
         number: u64,
         /// The order.
         order: RankOrder,
     },
-    /// What became of an order.
-    End {
-        /// The rank that carried it out.
+    /// Result of an order, sent to the leader.
+    #[serde(rename = "End")]
+    OrderResult {
+        /// The rank that the order was for.
         rank: u16,
-        /// Names the order.
+        /// Number of the order.
         number: u64,
-        /// The order's fence; numbers begin anew with each leader.
+        /// Fencing number of the order. Order numbers start again with each leader.
         fence: u64,
-        /// What became of it.
-        ended: OrderResult,
+        /// The result.
+        #[serde(rename = "ended")]
+        result: OrderResult,
     },
 }
 
 impl Datagram {
-    /// The word for logs and metrics.
+    /// Returns the name of the message type in logs and metrics.
     pub(crate) const fn kind(&self) -> &'static str {
         match self {
             Self::Poll(_) => "poll",
             Self::Collect { .. } => "collect",
-            Self::PollPart(_) => "poll-part",
-            Self::Part(_) => "part",
+            Self::SectionPoll(_) => "poll-part",
+            Self::SectionStatus(_) => "part",
             Self::Collected(_) => "collected",
             Self::Status(_) => "status",
             Self::Order { .. } => "order",
             Self::Relay { .. } => "relay",
             Self::Relayed { .. } => "relayed",
-            Self::ArmBeside { .. } => "arm-beside",
-            Self::End { .. } => "end",
+            Self::ArmLeaderRank { .. } => "arm-beside",
+            Self::OrderResult { .. } => "end",
         }
     }
 
-    /// Whether the message, of `bytes`, is an order that gives way to others on a full link.
+    /// Returns whether the message, encoded in `bytes` bytes, is an order long enough to be sent at
+    /// a limited rate, so that it does not delay other messages on the link.
     pub(crate) const fn is_long_order(&self, bytes: usize) -> bool {
         let is_order =
             matches!(self, Self::Order { .. } | Self::Relay { .. } | Self::Relayed { .. });
-        is_order && bytes >= LONG_FROM_BYTES
+        is_order && bytes >= LONG_ORDER_BYTES
     }
 
-    /// The bytes to send.
+    /// Encodes the message, with compression from [`MIN_DEFLATED_BYTES`] on.
     ///
     /// # Errors
     ///
-    /// When the message does not serialise.
+    /// Fails if the message cannot be serialised.
     pub(crate) fn to_bytes(&self) -> Result<Vec<u8>, postcard::Error> {
         let message = postcard::to_stdvec(self)?;
-        let (form, message) = if message.len() < DEFLATED_FROM_BYTES {
+        let (encoding, message) = if message.len() < MIN_DEFLATED_BYTES {
             (PLAIN, message)
         } else {
             (DEFLATED, compress_to_vec(&message, DEFLATE_LEVEL))
         };
-        Ok([&[form], message.as_slice()].concat())
+        Ok([&[encoding], message.as_slice()].concat())
     }
 
-    /// Reads what came.
+    /// Decodes a received datagram.
     ///
     /// # Errors
     ///
-    /// When the bytes hold no message, or one longer than [`MOST_BYTES`].
-    pub(crate) fn read(bytes: &[u8]) -> Result<Self, Unreadable> {
+    /// Fails if the bytes are not a message, or are one longer than [`MAX_MESSAGE_BYTES`].
+    pub(crate) fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         match bytes.split_first() {
             Some((&PLAIN, message)) => Ok(postcard::from_bytes(message)?),
             Some((&DEFLATED, deflated)) => {
-                let message = decompress_to_vec_with_limit(deflated, MOST_BYTES)
-                    .map_err(Unreadable::Deflated)?;
+                let message = decompress_to_vec_with_limit(deflated, MAX_MESSAGE_BYTES)
+                    .map_err(DecodeError::Inflate)?;
                 Ok(postcard::from_bytes(&message)?)
             }
-            _ => Err(Unreadable::UnknownForm),
+            _ => Err(DecodeError::UnknownEncoding),
         }
     }
 }
--- a/crates/direct/src/agent/execute.rs
+++ b/crates/direct/src/agent/execute.rs
@@ -1,4 +1,8 @@
-//! Carries an order out for certain, whatever is lost on the way.
+//! Carries out an order at a rank, and repeats it until its outcome is known.
+//!
+//! Requests and answers may be lost, so an order may take effect although no answer arrives.
+//! [`execute`] therefore reads the rank's report before and after it sends the order;
+//! [`execute_remotely`] is for ranks on other instances, whose reports are out of date.
 
 use super::rank::{OrderReply, RankClient, RankError, RankReport};
 use crate::decision_log::DecisionLog;
@@ -9,306 +13,323 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Sends of one order. With half of all answers lost, the chance that none of so many comes is one
-/// in a million; the leader asks again after that.
-const MOST_SENDS: u32 = 20;
+/// Maximum number of attempts at one order. With half of all answers lost, the probability that none
+/// of these arrives is one in a million; the leader repeats the order after that.
+const MAX_SENDS: u32 = 20;
 
-/// Pause before a rank on the own machine is asked again whether an order shows.
-pub(crate) const SHOW_PAUSE_MS: u64 = 5;
+/// Interval at which a rank on the same instance is checked for the effect of an order.
+pub(crate) const EFFECT_POLL_MS: u64 = 5;
 
-/// The same for a rank on another machine, whose word is some hundred milliseconds old.
-pub(crate) const SHOW_PAUSE_AFAR_MS: u64 = 60;
+/// The same for a rank on another instance, whose report is some hundred milliseconds old.
+pub(crate) const REMOTE_EFFECT_POLL_MS: u64 = 60;
 
-/// Pause before an order to a rank on another machine is given once more; an answer usually comes
-/// within 6 ms.
-const AGAIN_AFAR_MS: u64 = 15;
+/// Time after which an unanswered order is sent again to a rank on another instance; an answer
+/// usually arrives within 6 ms.
+const REMOTE_RESEND_MS: u64 = 15;
 
-/// The same for the rank on the own machine, where an answer comes within 12 ms when the agent is busy.
-const AGAIN_BESIDE_MS: u64 = 12;
+/// The same for the rank on the same instance, which answers within 12 ms when the agent is busy.
+const LOCAL_RESEND_MS: u64 = 12;
 
-/// Copies of one order that are under way together. With half of the answers lost, the chance that none of
-/// so many comes is one in two hundred.
-const MOST_COPIES: u32 = 8;
+/// Maximum number of concurrent sends of one order. With half of all answers lost, the probability
+/// that none of these arrives is one in two hundred.
+const MAX_IN_FLIGHT: u32 = 8;
 
-/// Times that the rank is asked whether an accepted order shows.
-const SHOW_LOOKS: u32 = 6;
+/// Number of checks whether an order has taken effect.
+const MAX_EFFECT_POLLS: u32 = 6;
 
-/// Carries an order out. Gives nothing when the rank does not answer.
+/// Carries out an order and returns its result, or `None` if the rank does not answer.
 ///
-/// The rank's own report decides, not the answer to the order: the answer may be lost though the
-/// order was accepted. `is_current` says whether the order's leader still leads, as far as is known.
+/// The outcome is read from the rank's report and not from the answer to the order, which may be
+/// lost although the rank accepted the order. `is_current` tells whether the leader that gave the
+/// order still leads, as far as this agent knows.
 pub(crate) async fn execute(
-    engine: &dyn RankClient,
+    client: &dyn RankClient,
     order: &RankOrder,
-    show_pause_ms: u64,
+    effect_poll_ms: u64,
     is_current: &dyn Fn() -> bool,
     log: &DecisionLog,
 ) -> Option<OrderResult> {
     let is_void = matches!(order.kind, OrderKind::Void { .. });
     let mut sends = 0;
-    for send in 1..=MOST_SENDS {
-        let report = match begin(engine, order, send, is_current, log).await {
-            Begin::Go(report) => report,
-            Begin::Unread => continue,
-            Begin::End(end) => return Some(OrderResult { end, sends }),
+    for send in 1..=MAX_SENDS {
+        let report = match check_before_send(client, order, send, is_current, log).await {
+            SendCheck::Proceed(report) => report,
+            SendCheck::Unreadable => continue,
+            SendCheck::Finish(end) => return Some(OrderResult { end, sends }),
         };
-        if is_spared(&report, order) {
+        if is_redundant(&report, order) {
             return Some(OrderResult { end: OrderOutcome::Done, sends });
         }
-        let is_ahead = matches!(order.kind, OrderKind::HoldAhead { .. });
-        let meant = match order.kind {
+        let is_hold_ahead = matches!(order.kind, OrderKind::HoldAhead { .. });
+        let actual_order = match order.kind {
             OrderKind::Void { version, experts_per_layer } => {
-                let held = prepare_held(engine, &report, version, experts_per_layer).await;
+                let held = prepare_current(client, &report, version, experts_per_layer).await;
                 let Some(kind) = held else { continue };
                 Some(RankOrder { kind, ..*order })
             }
-            _ => ahead(order, &report),
+            _ => resolve_hold_ahead(order, &report),
         };
-        let order = meant.as_ref().unwrap_or(order);
+        let order = actual_order.as_ref().unwrap_or(order);
         let armed = report.armed.map(|armed| armed.version);
-        let most = if copies(&order.kind) && !is_void { 1 } else { MOST_COPIES };
-        let pace = Copies { pause_ms: AGAIN_BESIDE_MS, most };
-        let Some(given) = EngineOrder::of(order, armed) else {
-            note(log, order, send, "lacks-map");
+        let max_in_flight =
+            if completes_later(&order.kind) && !is_void { 1 } else { MAX_IN_FLIGHT };
+        let resends = ResendPolicy { pause_ms: LOCAL_RESEND_MS, max_in_flight };
+        let Some(engine_order) = EngineOrder::of(order, armed) else {
+            log_outcome(log, order, send, "lacks-map");
             return Some(OrderResult { end: OrderOutcome::LacksMap, sends });
         };
-        let answer = first_answer(engine, &given, pace, &mut sends).await;
-        let ended = |end| Some(OrderResult { end, sends });
+        let answer = first_answer(client, &engine_order, resends, &mut sends).await;
+        let result = |end| Some(OrderResult { end, sends });
         match answer {
-            // The copies take time; that they are complete is read from the statuses.
-            Ok(OrderReply::Accepted) if copies(&order.kind) && !is_void => {
-                note(log, order, send, "done");
-                return ended(OrderOutcome::Done);
+            // Copying the experts takes time. The leader sees in later statuses when it is done.
+            Ok(OrderReply::Accepted) if completes_later(&order.kind) && !is_void => {
+                log_outcome(log, order, send, "done");
+                return result(OrderOutcome::Done);
             }
             Ok(OrderReply::Accepted) if matches!(order.kind, OrderKind::Fence { .. }) => {
-                let end = if is_held(engine, order).await {
+                let end = if is_held(client, order).await {
                     OrderOutcome::Done
                 } else {
                     OrderOutcome::Refused
                 };
-                note(log, order, send, if end == OrderOutcome::Done { "done" } else { "refused" });
-                return ended(end);
+                log_outcome(
+                    log,
+                    order,
+                    send,
+                    if end == OrderOutcome::Done { "done" } else { "refused" },
+                );
+                return result(end);
             }
             Ok(OrderReply::Accepted) => {
-                if comes_to_show(engine, order, show_pause_ms).await {
-                    note(log, order, send, "done");
-                    return ended(OrderOutcome::Done);
+                if takes_effect(client, order, effect_poll_ms).await {
+                    log_outcome(log, order, send, "done");
+                    return result(OrderOutcome::Done);
                 }
             }
             Ok(OrderReply::Fenced) => {
-                note(log, order, send, "fenced");
-                return ended(OrderOutcome::Fenced);
+                log_outcome(log, order, send, "fenced");
+                return result(OrderOutcome::Fenced);
             }
-            // The pass began meanwhile; a later one is to be held.
-            Ok(OrderReply::Conflict) if is_ahead => note(log, order, send, "conflict"),
+            // The pass has begun in the meantime, so the next attempt names a later one.
+            Ok(OrderReply::Conflict) if is_hold_ahead => log_outcome(log, order, send, "conflict"),
             Ok(OrderReply::Conflict | OrderReply::Rejected(_)) => {
-                // An earlier copy of the order may have been carried out meanwhile.
-                let end = if comes_to_show(engine, order, show_pause_ms).await {
+                // An earlier send of the order may have taken effect already.
+                let end = if takes_effect(client, order, effect_poll_ms).await {
                     OrderOutcome::Done
                 } else {
                     OrderOutcome::Refused
                 };
-                note(log, order, send, if end == OrderOutcome::Done { "done" } else { "refused" });
-                return ended(end);
+                log_outcome(
+                    log,
+                    order,
+                    send,
+                    if end == OrderOutcome::Done { "done" } else { "refused" },
+                );
+                return result(end);
             }
-            Err(error) => note_again(log, order, send, &error),
+            Err(error) => log_resend(log, order, send, &error),
         }
     }
     None
 }
 
-/// Carries an order out at the rank `target` on another machine. Gives nothing when it does not answer.
+/// Carries out an order at the rank `target` on another instance and returns its result, or `None`
+/// if the rank does not answer.
 ///
-/// All ranks of a group make each pass together, so the `own` rank, whose word is fresh, tells which
-/// pass is next; what a rank says to another machine is some hundred milliseconds old.
-pub(crate) async fn execute_afar(
+/// Reports from another instance are some hundred milliseconds old. All ranks of a group run each
+/// pass together, so the current pass is read from the `own` rank instead.
+pub(crate) async fn execute_remotely(
     own: &dyn RankClient,
     target: &dyn RankClient,
     order: &RankOrder,
     is_current: &dyn Fn() -> bool,
     log: &DecisionLog,
 ) -> Option<OrderResult> {
-    let is_ahead = matches!(order.kind, OrderKind::HoldAhead { .. });
+    let is_hold_ahead = matches!(order.kind, OrderKind::HoldAhead { .. });
     let mut sends = 0;
     let next = RankOrder { kind: OrderKind::HoldAhead { steps: 1 }, ..*order };
-    let mut is_standing = false;
-    for send in 1..=MOST_SENDS {
-        let report = match begin(own, order, send, is_current, log).await {
-            Begin::Go(report) => report,
-            Begin::Unread => continue,
-            Begin::End(end) => return Some(OrderResult { end, sends }),
+    let mut tries_next_pass = false;
+    for send in 1..=MAX_SENDS {
+        let report = match check_before_send(own, order, send, is_current, log).await {
+            SendCheck::Proceed(report) => report,
+            SendCheck::Unreadable => continue,
+            SendCheck::Finish(end) => return Some(OrderResult { end, sends }),
         };
-        let meant = meant_afar(if is_standing { &next } else { order }, &report);
-        let pace = Copies { pause_ms: AGAIN_AFAR_MS, most: MOST_COPIES };
-        let Some(given) = EngineOrder::of(meant.as_ref().unwrap_or(order), None) else {
-            note(log, order, send, "lacks-map");
+        let actual_order = remote_order(if tries_next_pass { &next } else { order }, &report);
+        let resends = ResendPolicy { pause_ms: REMOTE_RESEND_MS, max_in_flight: MAX_IN_FLIGHT };
+        let Some(engine_order) = EngineOrder::of(actual_order.as_ref().unwrap_or(order), None)
+        else {
+            log_outcome(log, order, send, "lacks-map");
             return Some(OrderResult { end: OrderOutcome::LacksMap, sends });
         };
-        let answer = first_answer(target, &given, pace, &mut sends).await;
-        let ended = |end| Some(OrderResult { end, sends });
+        let answer = first_answer(target, &engine_order, resends, &mut sends).await;
+        let result = |end| Some(OrderResult { end, sends });
         match answer {
             Ok(OrderReply::Accepted) => {
-                note(log, order, send, "done");
-                return ended(OrderOutcome::Done);
+                log_outcome(log, order, send, "done");
+                return result(OrderOutcome::Done);
             }
             Ok(OrderReply::Fenced) => {
-                note(log, order, send, "fenced");
-                return ended(OrderOutcome::Fenced);
+                log_outcome(log, order, send, "fenced");
+                return result(OrderOutcome::Fenced);
             }
-            // The pass began meanwhile, or an earlier copy of the order, whose answer was lost, holds
-            // another one. The group may stand before that one: asked for a later one only, the rank
-            // would refuse each time, and the group would stand for ever.
-            Ok(OrderReply::Conflict) if is_ahead => {
-                note(log, order, send, "conflict");
-                is_standing = !is_standing;
+            // Either the pass has begun in the meantime, or an earlier send whose answer was lost
+            // holds another pass. In the second case the group may be stalled at that pass, and the
+            // rank would refuse every later one, so attempts alternate with the very next pass.
+            Ok(OrderReply::Conflict) if is_hold_ahead => {
+                log_outcome(log, order, send, "conflict");
+                tries_next_pass = !tries_next_pass;
             }
             Ok(OrderReply::Conflict | OrderReply::Rejected(_)) => {
-                note(log, order, send, "refused");
-                return ended(OrderOutcome::Refused);
+                log_outcome(log, order, send, "refused");
+                return result(OrderOutcome::Refused);
             }
-            Err(error) => note_again(log, order, send, &error),
+            Err(error) => log_resend(log, order, send, &error),
         }
     }
     None
 }
 
-/// What comes before each send of an order.
-enum Begin {
-    /// The order may be given; this is the rank's word.
-    Go(RankReport),
-    /// The rank could not be read.
-    Unread,
-    /// The order is not to be given any more.
-    End(OrderOutcome),
+/// Result of the check before each attempt at an order.
+enum SendCheck {
+    /// The order may be sent; contains the rank's report.
+    Proceed(RankReport),
+    /// The rank's report could not be read.
+    Unreadable,
+    /// The order must not be sent any more.
+    Finish(OrderOutcome),
 }
 
-/// Reads a rank of the group, and looks whether the order is still meant.
+/// Reads the report of a rank of the group and checks that the order is still valid.
 ///
-/// Where ranks heed no fence, an order that is given again and again would outlive its leader, and arm a
-/// rank that the next one has just disarmed.
-async fn begin(
-    engine: &dyn RankClient,
+/// Where ranks do not enforce fencing numbers, a repeated order could otherwise outlive its leader
+/// and arm a rank that the next leader has just disarmed.
+async fn check_before_send(
+    client: &dyn RankClient,
     order: &RankOrder,
     send: u32,
     is_current: &dyn Fn() -> bool,
     log: &DecisionLog,
-) -> Begin {
+) -> SendCheck {
     if !is_current() {
-        note(log, order, send, "other-leader");
-        return Begin::End(OrderOutcome::Fenced);
+        log_outcome(log, order, send, "other-leader");
+        return SendCheck::Finish(OrderOutcome::Fenced);
     }
-    let report = match engine.report().await {
+    let report = match client.report().await {
         Ok(report) => report,
         Err(error) => {
             let line = DecisionLog::fields("order").with("kind", order.kind.as_str());
             log.note(line.with("error", error).with("outcome", "rank-not-read"));
-            return Begin::Unread;
+            return SendCheck::Unreadable;
         }
     };
     if report.membership.as_ref().is_none_or(|membership| membership.epoch != order.epoch) {
-        note(log, order, send, "other-epoch");
-        return Begin::End(OrderOutcome::Refused);
+        log_outcome(log, order, send, "other-epoch");
+        return SendCheck::Finish(OrderOutcome::Refused);
     }
-    Begin::Go(report)
+    SendCheck::Proceed(report)
 }
 
-/// Copies of one order that are under way together.
+/// How an unanswered order is repeated.
 #[derive(Clone, Copy)]
-struct Copies {
-    /// Pause between two of them.
+struct ResendPolicy {
+    /// Time between two sends.
     pause_ms: u64,
-    /// One for an order to copy a map: a rank refuses it while it copies.
-    most: u32,
+    /// Maximum number of concurrent sends; 1 for an order to copy experts, which a rank refuses
+    /// while it is copying.
+    max_in_flight: u32,
 }
 
-/// Gives an order again and again while no answer comes, and takes the first answer of any of them.
+/// Sends an order repeatedly until the first answer to any of the sends arrives.
 ///
-/// A group stands meanwhile. The link of a small machine may be full for some tens of milliseconds, so
-/// that an answer is neither soon nor lost; giving up on it each time would never get one.
+/// Earlier sends are not cancelled: the link of a small instance may be saturated for tens of
+/// milliseconds, and their answers are then late but not lost. Cancelling them each time might never
+/// get an answer, while the group is stalled.
 async fn first_answer(
     target: &dyn RankClient,
     order: &EngineOrder,
-    pace: Copies,
+    resends: ResendPolicy,
     sends: &mut u32,
 ) -> Result<OrderReply, RankError> {
-    let mut given = FuturesUnordered::new();
-    given.push(target.order(order));
+    let mut sends_in_flight = FuturesUnordered::new();
+    sends_in_flight.push(target.order(order));
     *sends += 1;
-    let mut copies = 1;
+    let mut send_count = 1;
     loop {
-        let again = tokio::time::sleep(Duration::from_millis(pace.pause_ms));
+        let resend_timer = tokio::time::sleep(Duration::from_millis(resends.pause_ms));
         tokio::select! {
-            Some(answer) = given.next() => match answer {
-                Err(error) if given.is_empty() => return Err(error),
+            Some(answer) = sends_in_flight.next() => match answer {
+                Err(error) if sends_in_flight.is_empty() => return Err(error),
                 Err(_) => {}
                 answered => return answered,
             },
-            () = again, if copies < pace.most => {
-                given.push(target.order(order));
+            () = resend_timer, if send_count < resends.max_in_flight => {
+                sends_in_flight.push(target.order(order));
                 *sends += 1;
-                copies += 1;
+                send_count += 1;
             }
         }
     }
 }
 
-/// Whether an order takes a rank some time, and is done when a later status shows it.
-const fn copies(kind: &OrderKind) -> bool {
+/// Returns whether a rank accepts the order at once and completes it later, which its statuses show.
+const fn completes_later(kind: &OrderKind) -> bool {
     matches!(kind, OrderKind::Prepare { .. })
 }
 
-/// An order to prepare what a rank holds. Ranks do not compare maps; the other ranks' rows only make
-/// this one valid, and it is never switched to.
-async fn prepare_held(
-    engine: &dyn RankClient,
+/// Builds an order to prepare the experts that a rank holds already. The map is never switched to
+/// and ranks do not compare maps, so the rows of the other ranks only have to make it valid.
+async fn prepare_current(
+    client: &dyn RankClient,
     report: &RankReport,
     version: u64,
     experts_per_layer: u16,
 ) -> Option<OrderKind> {
     let membership = report.membership.as_ref()?;
-    let lists = engine.held_experts().await.ok()?;
+    let held_experts = client.held_experts().await.ok()?;
     let map = ExpertMap::from_known_rank(
         membership.rank,
         membership.ranks,
-        &lists.experts,
+        &held_experts.experts,
         experts_per_layer,
     );
     Some(OrderKind::Prepare { version, map: Arc::new(map) })
 }
 
-/// Names the pass that a `HoldAhead` is about: one of those after that which runs now, or the one
-/// that is held already by an earlier copy of the order.
-fn ahead(order: &RankOrder, report: &RankReport) -> Option<RankOrder> {
+/// Replaces a `HoldAhead` by a `Hold` of a specific pass: the one that an earlier send of the order
+/// holds already, or else one after the running pass. Returns `None` for other orders.
+fn resolve_hold_ahead(order: &RankOrder, report: &RankReport) -> Option<RankOrder> {
     let OrderKind::HoldAhead { steps } = order.kind else { return None };
     let step = report.held_step.unwrap_or(report.step + u64::from(steps));
     Some(RankOrder { kind: OrderKind::Hold { step }, ..*order })
 }
 
-/// What a rank on another machine is told in place of an order.
+/// Returns the order that is sent to a rank on another instance in place of `order`, if it differs.
 ///
-/// What it says of itself is old, so it cannot be asked whether it still holds: it is told to hold the same
-/// pass again, which it refuses once that has begun.
-fn meant_afar(order: &RankOrder, own: &RankReport) -> Option<RankOrder> {
+/// The report of such a rank is too old to tell whether it still holds the pass. Instead of a
+/// `Fence` it gets a `Hold` of the same pass, which it refuses once that pass has begun.
+fn remote_order(order: &RankOrder, own: &RankReport) -> Option<RankOrder> {
     match order.kind {
         OrderKind::Fence { step } => Some(RankOrder { kind: OrderKind::Hold { step }, ..*order }),
-        _ => ahead(order, own),
+        _ => resolve_hold_ahead(order, own),
     }
 }
 
-/// Whether a rank that has seen the fence of an order still holds the pass.
-async fn is_held(engine: &dyn RankClient, order: &RankOrder) -> bool {
-    for _ in 0..SHOW_LOOKS {
-        if let Ok(report) = engine.report().await {
-            return shows(&report, order);
+/// Returns whether a rank that has accepted a `Fence` order still holds the pass.
+async fn is_held(client: &dyn RankClient, order: &RankOrder) -> bool {
+    for _ in 0..MAX_EFFECT_POLLS {
+        if let Ok(report) = client.report().await {
+            return has_effect(&report, order);
         }
     }
     false
 }
 
-/// Whether an order need not be given, because its effect is there already.
+/// Returns whether an order need not be sent because the rank is already in the requested state.
 ///
-/// A disarming and a holding order also show their fence to the rank, so they are always given.
-fn is_spared(report: &RankReport, order: &RankOrder) -> bool {
+/// Orders to disarm or to hold also make the rank record their fencing number, so they are always
+/// sent.
+fn is_redundant(report: &RankReport, order: &RankOrder) -> bool {
     match &order.kind {
         OrderKind::Disarm { .. }
         | OrderKind::HoldAhead { .. }
@@ -318,24 +339,25 @@
         | OrderKind::PrepareChange { .. }
         | OrderKind::Void { .. }
         | OrderKind::Arm { .. }
-        | OrderKind::Go { .. } => shows(report, order),
+        | OrderKind::Go { .. } => has_effect(report, order),
     }
 }
 
-async fn comes_to_show(engine: &dyn RankClient, order: &RankOrder, show_pause_ms: u64) -> bool {
-    for _ in 0..SHOW_LOOKS {
-        if let Ok(report) = engine.report().await
-            && shows(&report, order)
+/// Waits for a rank's report to show the effect of an order. Returns whether it does.
+async fn takes_effect(client: &dyn RankClient, order: &RankOrder, effect_poll_ms: u64) -> bool {
+    for _ in 0..MAX_EFFECT_POLLS {
+        if let Ok(report) = client.report().await
+            && has_effect(&report, order)
         {
             return true;
         }
-        tokio::time::sleep(Duration::from_millis(show_pause_ms)).await;
+        tokio::time::sleep(Duration::from_millis(effect_poll_ms)).await;
     }
     false
 }
 
-/// Whether a rank's report shows that an order was carried out.
-fn shows(report: &RankReport, order: &RankOrder) -> bool {
+/// Returns whether a rank's report shows the effect of an order.
+fn has_effect(report: &RankReport, order: &RankOrder) -> bool {
     match &order.kind {
         OrderKind::Prepare { version, .. }
         | OrderKind::PrepareChange { version, .. }
@@ -350,13 +372,13 @@
     }
 }
 
-fn note_again(log: &DecisionLog, order: &RankOrder, send: u32, error: &RankError) {
+fn log_resend(log: &DecisionLog, order: &RankOrder, send: u32, error: &RankError) {
     let line = DecisionLog::fields("order").with("kind", order.kind.as_str());
     let line = line.with("fence", order.fence).with("send", send);
     log.note(line.with("error", error).with("outcome", "sent-again"));
 }
 
-fn note(log: &DecisionLog, order: &RankOrder, send: u32, outcome: &'static str) {
+fn log_outcome(log: &DecisionLog, order: &RankOrder, send: u32, outcome: &'static str) {
     metrics::counter!("hickorycross_orders_total", "outcome" => outcome).increment(1);
     let line = DecisionLog::fields("order").with("kind", order.kind.as_str());
     let line = line.with("epoch", order.epoch).with("fence", order.fence).with("send", send);
--- a/crates/direct/src/agent/fleet.rs
+++ b/crates/direct/src/agent/fleet.rs
@@ -1,4 +1,5 @@
-//! What an agent hears from entries: the configuration and the backend servers of its service.
+//! What an agent learns from entries: the configuration, the backend servers of its service, and
+//! the addresses of other entries.
 
 use crate::clock::boot_now;
 use crate::decision_log::DecisionLog;
@@ -13,19 +14,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause between questions while nothing is known yet. After a loss of all power the entries start in the
-/// same moment; some seeds may be gone.
+/// Interval between requests while the agent knows no configuration or no backend server. After a
+/// power loss all entries start at the same moment, and some seeds may be gone.
 const FIRST_PAUSE_MS: u64 = 100;
 
-/// Pause between questions of an agent that leads while it does not know a machine for each rank: it polls
-/// nobody there, and the agents on those machines would begin to lead as well.
+/// Interval while the agent leads and does not know an instance for each rank. It polls nobody on
+/// the missing instances, so the agents there would begin to lead as well.
 const INCOMPLETE_PAUSE_MS: u64 = 200;
 
-/// Pause between questions. New members and dimensions may be learnt this much later.
+/// Interval otherwise. New entries and changed group dimensions become known with this delay.
 const PAUSE_MS: u64 = 2_000;
 
-/// Entries that an agent tells of its backend server: with more its messages would not fit on its link.
-const MOST_TOLD: usize = 64;
+/// Maximum number of entries to which an agent reports about backend servers. Reports to more would
+/// exceed the capacity of its link.
+const MAX_NOTIFIED_ENTRIES: usize = 64;
 
 /// What an agent knows of the fleet.
 pub(crate) struct Fleet {
@@ -34,8 +36,8 @@
     catalog: RefCell<CatalogState>,
     roster: RefCell<Roster>,
     peers: RefCell<PeerTable>,
-    /// Machines that the agent needs to know, because it leads so many ranks.
-    needed: Cell<usize>,
+    /// Number of instances that the agent must know while it leads: one per rank.
+    required_instances: Cell<usize>,
 }
 
 impl Fleet {
@@ -46,83 +48,86 @@
             catalog: RefCell::default(),
             roster: RefCell::default(),
             peers: RefCell::new(PeerTable::new(seeds, None)),
-            needed: Cell::new(0),
+            required_instances: Cell::new(0),
         })
     }
 
-    /// Dimensions of the groups of the agent's service.
+    /// Returns the dimensions of the groups of the agent's service, once the configuration is
+    /// known.
     pub(crate) fn dimensions(&self) -> Option<GroupDimensions> {
         self.catalog.borrow().catalog()?.services.get(&self.service)?.group
     }
 
-    /// Machines on which backend servers of the service stand or stood lately, with their failure domains.
+    /// Returns the instances with backend servers of the service, also those listed until recently,
+    /// each with its failure domain.
     pub(crate) fn machines(&self) -> Vec<(String, IpAddr)> {
         let roster = self.roster.borrow();
         roster.machines().map(|(domain, machine)| (domain.to_owned(), machine)).collect()
     }
 
-    /// Addresses of the backend servers of the service, those that are listed and those that were lately.
+    /// Returns the addresses of the service's backend servers, also of those listed until recently.
     pub(crate) fn addresses(&self) -> Vec<SocketAddr> {
         self.roster.borrow().addresses().collect()
     }
 
-    fn take_backends(&self, mut listed: Vec<BackendServer>) {
+    /// Applies a new list of backend servers.
+    fn update_roster(&self, mut listed: Vec<BackendServer>) {
         listed.retain(|server| server.service == self.service);
         self.roster.borrow_mut().update(boot_now(), &listed);
     }
 
-    /// Says how many machines the agent needs to know; none if it does not lead.
-    pub(crate) fn need(&self, machines: usize) {
-        self.needed.set(machines);
+    /// Sets how many instances the agent must know; 0 if it does not lead.
+    pub(crate) fn require_instances(&self, machines: usize) {
+        self.required_instances.set(machines);
     }
 
+    /// Returns the time until the next request to an entry.
     fn pause_ms(&self) -> u64 {
         let known = self.roster.borrow().listed_count();
         if self.dimensions().is_none() || known == 0 {
             FIRST_PAUSE_MS
-        } else if known < self.needed.get() {
+        } else if known < self.required_instances.get() {
             INCOMPLETE_PAUSE_MS
         } else {
             PAUSE_MS
         }
     }
 
-    /// Addresses at which entries answer, of a large fleet those that were heard of last.
+    /// Returns the addresses of entries; in a large fleet, those that were seen most recently.
     pub(crate) fn entries(&self) -> Vec<SocketAddr> {
-        let peers = self.peers.borrow().most_recent(MOST_TOLD);
+        let peers = self.peers.borrow().most_recent(MAX_NOTIFIED_ENTRIES);
         peers.iter().map(|peer| peer.address).collect()
     }
 
-    /// Takes changed seeds.
+    /// Replaces the seed addresses.
     pub(crate) fn set_seeds(&self, seeds: &[SocketAddr]) {
         self.peers.borrow_mut().set_seeds(seeds);
     }
 }
 
-/// Asks entries for ever.
-pub(crate) async fn follow(fleet: Rc<Fleet>) {
+/// Requests news from entries continuously.
+pub(crate) async fn run(fleet: Rc<Fleet>) {
     let client = peer_call::client();
     let mut backends_as_of = 0;
     loop {
         let peer = fleet.peers.borrow().random_peer(&mut rand::rng());
         if let Some(peer) = peer {
             let version = fleet.catalog.borrow().version();
-            let question =
-                ExchangeRequest { version, backends_as_of, ..ExchangeRequest::of_nothing() };
+            let request = ExchangeRequest { version, backends_as_of, ..ExchangeRequest::empty() };
             let sent_at = boot_now();
-            match exchange::call(&client, peer, &question).await {
-                Ok(answer) => {
+            match exchange::send(&client, peer, &request).await {
+                Ok(response) => {
                     fleet.peers.borrow_mut().note(peer, sent_at);
-                    for (address, silent_ms) in &answer.members {
+                    for (address, silent_ms) in &response.members {
                         fleet.peers.borrow_mut().note(*address, sent_at.before(*silent_ms));
                     }
-                    if let Some(backends) = answer.backends
-                        && answer.backends_as_of > backends_as_of
+                    if let Some(backends) = response.backends
+                        && response.backends_as_of > backends_as_of
                     {
-                        backends_as_of = answer.backends_as_of;
-                        fleet.take_backends(backends);
+                        backends_as_of = response.backends_as_of;
+                        fleet.update_roster(backends);
                     }
-                    if let Some(catalog) = answer.catalog {
+                    if let Some(catalog) = response.catalog {
                         let version = catalog.version;
                         let adoption = fleet.catalog.borrow_mut().offer(catalog);
                         if adoption == Adoption::Adopted {
--- a/crates/direct/src/agent/lead.rs
+++ b/crates/direct/src/agent/lead.rs
@@ -1,8 +1,9 @@
-//! An agent that leads its group: it decides, polls the members and sends orders.
+//! Leads the group: begins to lead when no leader is heard, decides, polls the members and sends
+//! orders.
 
 use super::datagram::{Datagram, Poll};
-use super::give::give;
-use super::link::LINE_MS;
+use super::dispatch::dispatch;
+use super::link_traffic::LOG_INTERVAL_MS;
 use super::member::Member;
 use super::rank::GroupMembership;
 use super::relay::Relays;
@@ -18,49 +19,55 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause between decisions of a leader.
+/// Maximum time between two decisions of the leader.
 const TICK_MS: u64 = 20;
 
-/// Silence of a leader after which the member of rank 0 leads: several polls.
-const LEADER_SILENT_MS: u64 = 600;
+/// Silence of the leader after which the agent of rank 0 begins to lead: several polls.
+const MAX_LEADER_SILENCE_MS: u64 = 600;
 
-/// The same for a member that has heard no leader since it learnt of the group's machines: a round of
-/// polls. After all machines have lost power the group is back within a second, and needs a map at once.
-const NEVER_HEARD_MS: u64 = 130;
+/// The same for an agent that has not heard any leader since it learned the group's instances: one
+/// round of polls. After a power loss of all instances the group is back within a second and needs
+/// a map at once.
+const INITIAL_LEADER_SILENCE_MS: u64 = 130;
 
-/// Silence added for each rank, so that members do not begin to lead at the same moment: a new leader's
-/// first polls are there after a tenth of it.
-const SILENT_PER_RANK_MS: u64 = 60;
+/// Additional silence per rank number, so that agents do not begin to lead at the same moment. The
+/// first polls of a new leader arrive after a tenth of it.
+const EXTRA_SILENCE_PER_RANK_MS: u64 = 60;
 
-/// Ranks up to which so much is added. That all of them are gone together is rare.
+/// Number of ranks to which [`EXTRA_SILENCE_PER_RANK_MS`] applies. It is rare that all of these
+/// fail together.
 const WIDELY_SPACED_RANKS: u64 = 20;
 
-/// Silence added for each further rank. Without any, all of them begin to lead at once: 89 agents of a
-/// group of 129 did so within 1.5 s after their start.
-const SILENT_PER_FURTHER_RANK_MS: u64 = 15;
+/// Additional silence per rank number beyond these. Without it, 89 agents of a group of 129 ranks
+/// began to lead within 1.5 s of their start.
+const EXTRA_SILENCE_PER_FURTHER_RANK_MS: u64 = 15;
 
-/// Lower digits of a fence tell leaders apart that began in the same millisecond.
+/// Number of fencing numbers per millisecond. The low digits of a fencing number contain the
+/// leader's rank, which distinguishes leaders that begin in the same millisecond.
 const FENCES_PER_MS: u64 = 1 << 10;
 
-/// Time for which the group that this agent leads has had no even map; 0 of one that does not lead.
+/// Metric: time for which the group that this agent leads has not had a balanced map; 0 while the
+/// agent does not lead.
 const UNEVEN_SECONDS: &str = "hickorycross_group_uneven_seconds";
 
-/// Leads whenever no leader is heard, for ever.
-pub(crate) async fn lead(member: Rc<Member>) {
+/// Leads the group whenever no other leader is heard, continuously.
+pub(crate) async fn run(member: Rc<Member>) {
     let mut polls = PollSchedule::default();
     let mut poll_watchers_at = BootMs(0);
-    let mut looked_at = boot_now();
+    let mut last_tick_at = boot_now();
     let mut was_held = false;
     let mut watchers = Watchers::default();
     loop {
-        // A change stands still between an answer and the next look at it.
-        let _ = tokio::time::timeout(Duration::from_millis(TICK_MS), member.news.notified()).await;
+        // Answers wake the loop, because a map change makes no progress until they are processed.
+        let _ =
+            tokio::time::timeout(Duration::from_millis(TICK_MS), member.leader_wakeup.notified())
+                .await;
         let now = boot_now();
-        member.link.note_pause(now.since(looked_at));
-        looked_at = now;
-        begin_if_silent(&member, now).await;
+        member.link_traffic.note_pause(now.since(last_tick_at));
+        last_tick_at = now;
+        lead_if_silent(&member, now).await;
         let leads = member.leader.borrow().is_some();
-        member.fleet.need(if leads { member.ranks_of_group.get() } else { 0 });
+        member.fleet.require_instances(if leads { member.ranks_of_group.get() } else { 0 });
         let Some(dimensions) = member.fleet.dimensions() else { continue };
         let counts_per_rank =
             usize::from(dimensions.layers) * usize::from(dimensions.experts_per_layer);
@@ -77,7 +84,7 @@
             let group = leader.group().to_owned();
             watchers.set(leader.watchers(), leader.witness_rank());
             let (is_busy, is_held) = (leader.is_busy(), leader.is_held());
-            note_uneven(&member.log, leader, now);
+            log_uneven(&member.log, leader, now);
             if leader.is_deposed() {
                 *leading = None;
                 let line = DecisionLog::fields("leader").with("fence", fence);
@@ -93,89 +100,98 @@
         }
         was_held = is_held;
         let sections = Sections::of(&machines, counts_per_rank);
-        // While a pass is held the link is for orders and their ends.
+        // While a pass is held the link is reserved for orders and their results.
         let sections = if is_held { sections.without_counts() } else { sections };
         let wants_counts = !is_held && polls.wants_counts(&sections, is_busy);
         let poll = Poll { wants_counts, ..poll };
-        carry_out(&member, actions).await;
+        perform(&member, actions).await;
         if now >= poll_watchers_at {
-            // Each answer brings the loop here again; without a pause both would do nothing else.
+            // Every answer wakes this loop. Without a minimum interval, polls and answers would
+            // trigger each other continuously.
             poll_watchers_at = now.after(TICK_MS);
             watchers.poll(&member, &poll).await;
         }
-        for asked in polls.due(now, &sections, is_busy) {
-            ask(&member, asked, &poll).await;
+        for section_poll in polls.due(now, &sections, is_busy) {
+            poll_section(&member, section_poll, &poll).await;
         }
     }
 }
 
-async fn ask(member: &Member, asked: SectionPoll, poll: &Poll) {
-    let at = |machine| SocketAddr::new(machine, member.port);
-    let SectionPoll { section, collector, others } = asked;
+/// Polls the agents of a section, through a collector if there are several.
+async fn poll_section(member: &Member, section_poll: SectionPoll, poll: &Poll) {
+    let agent_on = |machine| SocketAddr::new(machine, member.port);
+    let SectionPoll { section, collector, others } = section_poll;
     let poll = poll.clone();
     let datagram = if others.is_empty() {
         Datagram::Poll(poll)
     } else {
-        Datagram::Collect { section, poll, others: others.into_iter().map(at).collect() }
+        Datagram::Collect { section, poll, others: others.into_iter().map(agent_on).collect() }
     };
-    member.send(at(collector), &datagram).await;
+    member.send(agent_on(collector), &datagram).await;
 }
 
-/// Begins to lead when no leader was heard for some time.
-async fn begin_if_silent(member: &Member, now: BootMs) {
+/// Begins to lead if no leader has been heard for long enough.
+async fn lead_if_silent(member: &Member, now: BootMs) {
     if member.leader.borrow().is_some() {
         return;
     }
-    // A leader that does not know the shape of its group polls nobody, and one whose machine is not listed
-    // yet is not asked by others that lead; all would lead at a start, one after the other.
+    // At a start, all agents would otherwise begin to lead one after another: a leader that does
+    // not know the dimensions of its group polls nobody, and an agent whose instance is not listed
+    // yet is not polled by other leaders.
     let is_listed = member.fleet.machines().iter().any(|(_, machine)| *machine == member.machine);
     if !is_listed || member.fleet.dimensions().is_none() {
         member.leader_heard_at.set(now);
         return;
     }
-    // Without its rank's number each of many agents that start together would take itself for the first.
+    // Without its rank number, each of many agents that start together would take itself for rank
+    // 0.
     let Some(own_rank) = own_rank(member).await else { return };
     let has_heard = member.highest_fence.get() > 0;
-    let silent_ms = if has_heard { LEADER_SILENT_MS } else { NEVER_HEARD_MS };
-    let patience_ms = silent_ms + added_silence_ms(u64::from(own_rank));
-    if now.since(member.leader_heard_at.get()) < patience_ms {
+    let silent_ms = if has_heard { MAX_LEADER_SILENCE_MS } else { INITIAL_LEADER_SILENCE_MS };
+    let max_silence_ms = silent_ms + extra_silence_ms(u64::from(own_rank));
+    if now.since(member.leader_heard_at.get()) < max_silence_ms {
         return;
     }
     member.leader_heard_at.set(now);
-    let Ok(report) = member.engine.report().await else { return };
+    let Ok(report) = member.rank_client.report().await else { return };
     if let Some(membership) = report.membership {
-        begin(member, &membership, None);
+        start_leading(member, &membership, None);
     }
 }
 
-fn added_silence_ms(rank: u64) -> u64 {
+/// Returns the additional silence of a leader that the agent of a rank waits for.
+fn extra_silence_ms(rank: u64) -> u64 {
     let further = rank.saturating_sub(WIDELY_SPACED_RANKS);
-    rank.min(WIDELY_SPACED_RANKS) * SILENT_PER_RANK_MS + further * SILENT_PER_FURTHER_RANK_MS
+    rank.min(WIDELY_SPACED_RANKS) * EXTRA_SILENCE_PER_RANK_MS
+        + further * EXTRA_SILENCE_PER_FURTHER_RANK_MS
 }
 
-/// The number of the own rank, asked for until it is known.
+/// Returns the number of the own rank, which is read from the rank until it is known.
 async fn own_rank(member: &Member) -> Option<u16> {
     if member.own_rank.get().is_none() {
-        let membership = member.engine.report().await.ok()?.membership?;
+        let membership = member.rank_client.report().await.ok()?.membership?;
         member.own_rank.set(Some(membership.rank));
     }
     member.own_rank.get()
 }
 
-/// The rank beside the leader with `fence`.
+/// Returns the rank of the leader with a fencing number.
 pub(super) fn rank_of(fence: u64) -> Option<u16> {
     u16::try_from(fence % FENCES_PER_MS).ok()
 }
 
-/// Begins to lead in place of the leader with `fence`, which went silent while a rank holds.
+/// Begins to lead in place of the leader with a fencing number, which went silent while a rank
+/// holds a pass.
 pub(super) async fn take_over(member: &Member, fence: u64) {
-    let Ok(report) = member.engine.report().await else { return };
+    let Ok(report) = member.rank_client.report().await else { return };
     let Some(membership) = report.membership else { return };
-    begin(member, &membership, rank_of(fence).filter(|rank| *rank != membership.rank));
-    member.news.notify_one();
+    start_leading(member, &membership, rank_of(fence).filter(|rank| *rank != membership.rank));
+    member.leader_wakeup.notify_one();
 }
 
-fn begin(member: &Member, membership: &GroupMembership, instead_of: Option<u16>) {
+/// Begins to lead with a new, higher fencing number. `instead_of` is the rank of the leader that is
+/// replaced while a pass may be held for it.
+fn start_leading(member: &Member, membership: &GroupMembership, instead_of: Option<u16>) {
     member.own_rank.set(Some(membership.rank));
     member.ranks_of_group.set(usize::from(membership.ranks));
     *member.own_group.borrow_mut() = Some(membership.group.clone());
@@ -185,31 +201,33 @@
     let salt = rand::rng().random::<u64>();
     let leader = Leader::new(&membership.group, membership.rank, fence, salt);
     let leader = if instead_of.is_some() { leader.with_possible_hold(boot_now()) } else { leader };
-    let leader = if member.heeds_fences { leader } else { leader.without_fences() };
+    let leader = if member.enforces_fences { leader } else { leader.without_fences() };
     *member.leader.borrow_mut() = Some(leader);
     let line = DecisionLog::fields("leader").with("fence", fence).with("rank", membership.rank);
     let line = line.with_some("instead_of", instead_of).with("ranks", membership.ranks);
     member.log.note(line.with("machines", member.fleet.machines().len()).with("outcome", "leads"));
 }
 
-async fn carry_out(member: &Rc<Member>, mut actions: Vec<LeaderAction>) {
-    let mut relays = Relays::take_from(&mut actions);
+/// Performs the actions that the leader has decided on.
+async fn perform(member: &Rc<Member>, mut actions: Vec<LeaderAction>) {
+    let mut relays = Relays::extract_from(&mut actions);
     for action in actions {
         match action {
-            LeaderAction::Note(note) => note_decision(member, &note),
+            LeaderAction::Note(note) => log_decision(member, &note),
             LeaderAction::Send { rank, delivered_by, number, order, .. }
                 if delivered_by == rank =>
             {
-                relays.give(member, rank, number, order).await;
+                relays.dispatch(member, rank, number, order).await;
             }
             LeaderAction::Send { rank, delivered_by, number, order, .. } => {
-                give(member, rank, delivered_by, number, order).await;
+                dispatch(member, rank, delivered_by, number, order).await;
             }
         }
     }
 }
 
-fn note_decision(member: &Member, note: &LeaderNote) {
+/// Logs and counts a decision.
+fn log_decision(member: &Member, note: &LeaderNote) {
     metrics::counter!("hickorycross_map_changes_total", "cause" => note.cause).increment(1);
     let line = DecisionLog::fields("map-change").with("cause", note.cause);
     let line = line.with("phase", note.phase).with("version", note.version);
@@ -219,8 +237,8 @@
     member.log.note(line.with_some("bottleneck_after_permille", bottleneck.map(|it| it.1)));
 }
 
-/// Says why a group that is uneven gets no other map, and for how long it has had no even one.
-fn note_uneven(log: &DecisionLog, leader: &mut Leader, now: BootMs) {
+/// Records for how long the group has not had a balanced map, and logs why it gets no other one.
+fn log_uneven(log: &DecisionLog, leader: &mut Leader, now: BootMs) {
     let uneven_s = leader.uneven_ms(now) as f64 / 1_000.0;
     metrics::gauge!(UNEVEN_SECONDS).set(uneven_s);
     let Some(UnevenNote { obstacle, uneven_ms, epoch }) = leader.uneven_note(now) else { return };
@@ -230,11 +248,11 @@
     log.note(line.with_some("age_ms", obstacle.age_ms()).with("outcome", obstacle.as_str()));
 }
 
-/// Writes a line a second while this agent leads, for ever.
-pub(super) async fn tell_link(member: Rc<Member>) {
+/// Logs the traffic once per second while this agent leads, continuously.
+pub(super) async fn log_link_traffic(member: Rc<Member>) {
     loop {
-        tokio::time::sleep(Duration::from_millis(LINE_MS)).await;
-        let line = member.link.take_line();
+        tokio::time::sleep(Duration::from_millis(LOG_INTERVAL_MS)).await;
+        let line = member.link_traffic.take_log_fields();
         if member.leader.borrow().is_some() {
             member.log.note(line);
         }
--- a/crates/direct/src/agent/member.rs
+++ b/crates/direct/src/agent/member.rs
@@ -1,12 +1,12 @@
-//! An agent as a member of its group: what it knows, and how it speaks to others.
+//! State of an agent as a member of its group, and sending of messages to the other agents.
 
-use super::bulk::BulkQueue;
 use super::datagram::Datagram;
 use super::fleet::Fleet;
-use super::link::{LinkLoad, Way};
+use super::link_traffic::{Direction, LinkTraffic};
+use super::paced_sender::PacedQueue;
 use super::rank::{ExpertCounts, RankClient, RankClients};
-use super::silent::SilentRanks;
-use super::state::{Collecting, UnderWay, Watched};
+use super::silent_ranks::SilentRanks;
+use super::state::{CollectionState, OrdersInFlight, WatchedLeader};
 use crate::clock::boot_now;
 use crate::decision_log::DecisionLog;
 use hickorycross_core::direct::BootMs;
@@ -18,60 +18,69 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
-/// A member of a group.
+/// State of an agent as a member of its group.
 pub(crate) struct Member {
-    pub(crate) engine: Rc<dyn RankClient>,
-    pub(crate) engines: Rc<dyn RankClients>,
-    /// Whether ranks refuse orders with an old fence.
-    pub(super) heeds_fences: bool,
+    /// Client of the rank on the same instance.
+    pub(crate) rank_client: Rc<dyn RankClient>,
+    /// Factory of clients of other ranks.
+    pub(crate) rank_clients: Rc<dyn RankClients>,
+    /// Whether ranks refuse orders with an outdated fencing number.
+    pub(super) enforces_fences: bool,
     pub(crate) fleet: Rc<Fleet>,
     pub(crate) log: DecisionLog,
     pub(crate) socket: Rc<UdpSocket>,
-    /// The machine that the agent and its rank share.
+    /// Address of the instance on which the agent and its rank run.
     pub(super) machine: IpAddr,
+    /// UDP port of all agents.
     pub(crate) port: u16,
+    /// Leader state while this agent leads.
     pub(crate) leader: RefCell<Option<Leader>>,
-    /// Where the agents of ranks are.
-    pub(super) ranks: RefCell<IndexMap<u16, SocketAddr>>,
-    /// The highest fence of a leader heard, or of an order sent to the rank.
+    /// Addresses of agents by rank, as learned from their statuses.
+    pub(super) agents: RefCell<IndexMap<u16, SocketAddr>>,
+    /// The highest fencing number seen in a message of a leader or sent to the rank.
     pub(crate) highest_fence: Cell<u64>,
+    /// When the last message of a leader arrived, or when waiting for one began.
     pub(super) leader_heard_at: Cell<BootMs>,
+    /// Expert counts at the last status that contained them.
     pub(crate) last_counts: RefCell<Option<ExpertCounts>>,
-    /// Maps that were told of, for orders that tell changes.
+    /// Maps received from leaders, to which orders with a map change apply.
     pub(super) known_maps: RefCell<KnownMaps>,
-    /// Orders under way or ended, by fence and number.
+    /// Results of orders by fencing number and order number; `None` while an order is being
+    /// executed.
     pub(super) orders: RefCell<IndexMap<(u64, u64), Option<OrderResult>>>,
+    /// Number of the own rank, once it is known.
     pub(super) own_rank: Cell<Option<u16>>,
-    /// How many ranks the own group has, as of when this agent began to lead.
+    /// Number of ranks in the own group when this agent began to lead.
     pub(super) ranks_of_group: Cell<usize>,
-    /// The group of the own rank, once it is known.
+    /// Name of the own rank's group, once it is known.
     pub(super) own_group: RefCell<Option<String>>,
-    /// Told when a leader has something new to decide upon.
-    pub(crate) news: Notify,
-    /// How long the own rank's work takes, in thousandths of the usual time.
+    /// Wakes the leader's loop when there is new input for a decision.
+    pub(crate) leader_wakeup: Notify,
+    /// Duration of the own rank's work relative to its usual duration, in thousandths.
     pub(crate) pace_permille: Cell<u32>,
-    /// Ranks whose agents are not heard.
-    pub(crate) silent: SilentRanks,
-    /// Orders to ranks on other machines.
-    pub(super) under_way: UnderWay,
-    /// What this agent knows of the leader for which the own rank holds a pass, or held the last one.
+    /// Ranks whose agents are silent, and the last contact with each agent.
+    pub(crate) silent_ranks: SilentRanks,
+    /// Orders to ranks on other instances that are being executed.
+    pub(super) orders_in_flight: OrdersInFlight,
+    /// What this agent recorded about the rank of the leader for which the own rank holds a pass,
+    /// or held the last one.
     pub(super) witness: Cell<Option<Witness>>,
-    /// How long the own rank holds a pass.
+    /// Measures how long the own rank holds a pass.
     pub(super) hold_clock: RefCell<HoldClock>,
-    /// The leader in whose place this agent is to lead when it goes silent.
-    pub(super) watched: Cell<Option<Watched>>,
-    /// What the link carries.
-    pub(super) link: LinkLoad,
-    /// Long messages that wait for the link.
-    pub(super) bulk: BulkQueue,
-    /// Statuses that this agent collects for a leader.
-    pub(super) collecting: Collecting,
+    /// The leader that this agent watches, to take over when it goes silent.
+    pub(super) watched_leader: Cell<Option<WatchedLeader>>,
+    /// Traffic of the agent, by message type.
+    pub(super) link_traffic: LinkTraffic,
+    /// Long messages that wait to be sent at a limited rate.
+    pub(super) paced_queue: PacedQueue,
+    /// Collection of statuses for a leader.
+    pub(super) collection: CollectionState,
 }
 
 impl Member {
     pub(crate) fn new(
-        engines: Rc<dyn RankClients>,
-        heeds_fences: bool,
+        rank_clients: Rc<dyn RankClients>,
+        enforces_fences: bool,
         backend: SocketAddr,
         fleet: Rc<Fleet>,
         log: DecisionLog,
@@ -79,16 +88,16 @@
         port: u16,
     ) -> Rc<Self> {
         Rc::new(Self {
-            engine: engines.local(backend),
+            rank_client: rank_clients.local(backend),
             machine: backend.ip(),
-            engines,
-            heeds_fences,
+            rank_clients,
+            enforces_fences,
             fleet,
             log,
             socket: Rc::new(socket),
             port,
             leader: RefCell::new(None),
-            ranks: RefCell::default(),
+            agents: RefCell::default(),
             highest_fence: Cell::new(0),
             leader_heard_at: Cell::new(boot_now()),
             last_counts: RefCell::new(None),
@@ -97,20 +106,20 @@
             own_rank: Cell::new(None),
             ranks_of_group: Cell::new(0),
             own_group: RefCell::new(None),
-            news: Notify::new(),
+            leader_wakeup: Notify::new(),
             pace_permille: Cell::new(1_000),
-            silent: SilentRanks::default(),
-            under_way: UnderWay::default(),
+            silent_ranks: SilentRanks::default(),
+            orders_in_flight: OrdersInFlight::default(),
             witness: Cell::new(None),
             hold_clock: RefCell::default(),
-            watched: Cell::new(None),
-            link: LinkLoad::default(),
-            bulk: BulkQueue::default(),
-            collecting: Collecting::default(),
+            watched_leader: Cell::new(None),
+            link_traffic: LinkTraffic::default(),
+            paced_queue: PacedQueue::default(),
+            collection: CollectionState::default(),
         })
     }
 
-    /// Sends a message; one that is long waits until the link has room, others go at once.
+    /// Sends a message: a long order at a limited rate, any other message at once.
     pub(super) async fn send(&self, to: SocketAddr, datagram: &Datagram) {
         let line = DecisionLog::fields("datagram").with("to", to).with("kind", datagram.kind());
         let bytes = match datagram.to_bytes() {
@@ -120,9 +129,9 @@
                 return;
             }
         };
-        self.link.count(Way::Sent, datagram.kind(), bytes.len());
+        self.link_traffic.count(Direction::Sent, datagram.kind(), bytes.len());
         if datagram.is_long_order(bytes.len()) {
-            if let Err(bytes) = self.bulk.add(to, bytes) {
+            if let Err(bytes) = self.paced_queue.push(to, bytes) {
                 self.log.note(line.with("bytes", bytes.len()).with("outcome", "dropped"));
             }
         } else if let Err(error) = self.socket.send_to(&bytes, to).await {
--- a/crates/direct/src/agent/mod.rs
+++ b/crates/direct/src/agent/mod.rs
@@ -1,39 +1,42 @@
-//! The agent of a rank: reads its rank, carries orders out there, and leads the group or follows.
+//! The agent of a rank: reads the rank's status, carries out orders at it, and leads the group or
+//! follows the agent that leads.
 //!
-//! - `rank` is what a platform must give; `execute` carries one order out for certain, `afar` does so
-//!   at ranks on other machines, and `give` has the right agent give it.
-//! - `member` is what the agent knows, with `state` and `silent`; `datagram` is what agents say to each
-//!   other, `link` counts what that takes of the link, and
-//!   `bulk` sends what is long bit by bit.
-//! - `hear` answers and follows, `take_order` does as the leader says, `status` is what is answered.
-//! - `lead` leads; `collect` hears a section of a large group for the leader, and `relay` passes its orders
-//!   to many on.
-//! - `stand_in` reads ranks whose agents are not heard; `watchers` are polled by an agent that leads, and
-//!   `watch` takes over from it when it goes silent while a rank holds a pass for it; `tell` tells entries
-//!   of ranks that are slow or not heard.
-//! - `program` starts and stops the process.
+//! - Platform interface: `rank` has the traits that a platform implements.
+//! - State: `member` holds the state of the agent, with parts in `state` and `silent_ranks`;
+//!   `fleet` is what the agent learns from entries.
+//! - Messages: `datagram` defines the messages between agents, `receive` dispatches received ones,
+//!   `paced_sender` limits the rate of long ones, and `link_traffic` counts them for the log.
+//! - Following: `status` reads the status of the own rank, `handle_order` processes orders of the
+//!   leader, and `execute` carries out a single order reliably.
+//! - Leading: `lead` decides, polls and sends orders through `dispatch`; in large groups `collect`
+//!   gathers the statuses of a section, and `relay` forwards orders that go to many ranks.
+//! - Failures of agents: `remote_reads` reads ranks whose agents are silent, and `remote_orders`
+//!   orders ranks on other instances. `watchers` polls the agents that watch the leader, and
+//!   `leader_watch` takes over from a leader that goes silent while a rank holds a pass for it.
+//!   `notify_entries` reports slow ranks and silent agents to the entries.
+//! - Process: `program` starts and stops the agent.
 
-mod afar;
-mod bulk;
 mod collect;
 mod datagram;
+mod dispatch;
 mod execute;
 mod fleet;
-mod give;
-mod hear;
+mod handle_order;
 mod lead;
-mod link;
+mod leader_watch;
+mod link_traffic;
 mod member;
+mod notify_entries;
+mod paced_sender;
 mod program;
 mod rank;
+mod receive;
 mod relay;
-mod silent;
-mod stand_in;
+mod remote_orders;
+mod remote_reads;
+mod silent_ranks;
 mod state;
 mod status;
-mod take_order;
-mod tell;
-mod watch;
 mod watchers;
 
 pub use program::run_agent;
--- a/crates/direct/src/agent/bulk.rs
+++ b/crates/direct/src/agent/paced_sender.rs
@@ -1,4 +1,4 @@
-//! Sends long messages one after the other, so that they do not fill the link.
+//! Sends long messages one after another at a limited rate, so that they do not saturate the link.
 
 use super::member::Member;
 use crate::clock::boot_now;
@@ -11,31 +11,33 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Messages that wait: two changes of a group of 512 ranks. What is over is asked for again.
-const MOST_WAITING: usize = 64;
+/// Maximum number of queued messages: two map changes of a group of 512 ranks. The leader repeats
+/// orders that are dropped.
+const MAX_QUEUED: usize = 64;
 
-/// Long messages that wait for the link.
+/// Queue of long messages that wait to be sent.
 #[derive(Default)]
-pub(super) struct BulkQueue {
-    waiting: RefCell<VecDeque<(SocketAddr, Vec<u8>)>>,
+pub(super) struct PacedQueue {
+    queued: RefCell<VecDeque<(SocketAddr, Vec<u8>)>>,
     added: Notify,
 }
 
-impl BulkQueue {
-    /// Adds a message; gives it back when too many wait.
-    pub(super) fn add(&self, to: SocketAddr, bytes: Vec<u8>) -> Result<(), Vec<u8>> {
-        let mut waiting = self.waiting.borrow_mut();
-        if waiting.len() >= MOST_WAITING {
+impl PacedQueue {
+    /// Appends a message, or returns it if the queue is full.
+    pub(super) fn push(&self, to: SocketAddr, bytes: Vec<u8>) -> Result<(), Vec<u8>> {
+        let mut queued = self.queued.borrow_mut();
+        if queued.len() >= MAX_QUEUED {
             return Err(bytes);
         }
-        waiting.push_back((to, bytes));
+        queued.push_back((to, bytes));
         self.added.notify_one();
         Ok(())
     }
 
+    /// Waits for the next message and removes it from the queue.
     async fn next(&self) -> (SocketAddr, Vec<u8>) {
         loop {
-            let next = self.waiting.borrow_mut().pop_front();
+            let next = self.queued.borrow_mut().pop_front();
             match next {
                 Some(next) => return next,
                 None => self.added.notified().await,
@@ -44,11 +46,11 @@
     }
 }
 
-/// Sends what waits, for ever.
-pub(super) async fn follow(member: Rc<Member>) {
+/// Sends queued messages continuously.
+pub(super) async fn run(member: Rc<Member>) {
     let mut pace = LinkPace::default();
     loop {
-        let (to, bytes) = member.bulk.next().await;
+        let (to, bytes) = member.paced_queue.next().await;
         let length = bytes.len() as u64;
         let wait_ms = pace.wait_ms(boot_now(), length);
         if wait_ms > 0 {
--- a/crates/direct/src/agent/program.rs
+++ b/crates/direct/src/agent/program.rs
@@ -1,9 +1,9 @@
-//! A running agent.
+//! Start and stop of an agent process.
 
 use super::fleet::{self, Fleet};
 use super::member::Member;
 use super::rank::RankClients;
-use super::{bulk, hear, lead, stand_in, tell};
+use super::{lead, notify_entries, paced_sender, receive, remote_reads};
 use crate::decision_log::DecisionLog;
 use crate::operators::{self, AgentPages};
 use crate::process::{Process, cannot_listen, end, listen};
@@ -13,19 +13,20 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 
-/// Runs an agent until it is told to stop.
+/// Runs an agent until the process is asked to stop.
 ///
 /// # Errors
 ///
-/// When the settings name no backend server, its address cannot be listened at, or the system gives
-/// no signals or threads.
+/// Fails if the settings name no backend server, if the agent's address cannot be bound, or if the
+/// operating system provides no signals or threads.
 pub async fn run_agent(
     settings: ProcessSettings,
-    engines: Rc<dyn RankClients>,
+    rank_clients: Rc<dyn RankClients>,
     source: Box<dyn SettingsSource>,
 ) -> miette::Result<()> {
     let Process { exposition, log, mut signals, reload } = Process::start(source)?;
-    let backend = settings.backend.ok_or_else(|| miette::miette!("no backend server is named"))?;
+    let backend =
+        settings.backend.ok_or_else(|| miette::miette!("the settings name no backend server"))?;
     let service = settings.service.clone().unwrap_or_default();
     let address = SocketAddr::new(backend.ip(), settings.agent_port);
     let socket = UdpSocket::bind(address)
@@ -38,18 +39,19 @@
     let line = line.with("backend", backend).with("service", &service);
     log.note(line.with("fences_orders", settings.bounds.fences_orders));
     let fleet = Fleet::new(log.clone(), &service, &settings.seeds);
-    let heeds_fences = settings.bounds.fences_orders;
-    let (fleet_of, log_of) = (Rc::clone(&fleet), log.clone());
+    let enforces_fences = settings.bounds.fences_orders;
+    let (member_fleet, member_log) = (Rc::clone(&fleet), log.clone());
     let port = settings.agent_port;
-    let member = Member::new(engines, heeds_fences, backend, fleet_of, log_of, socket, port);
-    tokio::task::spawn_local(fleet::follow(Rc::clone(&fleet)));
-    tokio::task::spawn_local(bulk::follow(Rc::clone(&member)));
-    tokio::task::spawn_local(hear::hear(Rc::clone(&member)));
-    tokio::task::spawn_local(lead::lead(Rc::clone(&member)));
-    tokio::task::spawn_local(lead::tell_link(Rc::clone(&member)));
-    tokio::task::spawn_local(stand_in::follow(Rc::clone(&member)));
-    tokio::task::spawn_local(tell::follow(Rc::clone(&member), backend));
-    tokio::task::spawn_local(tell::follow_hearing(member));
+    let member =
+        Member::new(rank_clients, enforces_fences, backend, member_fleet, member_log, socket, port);
+    tokio::task::spawn_local(fleet::run(Rc::clone(&fleet)));
+    tokio::task::spawn_local(paced_sender::run(Rc::clone(&member)));
+    tokio::task::spawn_local(receive::run(Rc::clone(&member)));
+    tokio::task::spawn_local(lead::run(Rc::clone(&member)));
+    tokio::task::spawn_local(lead::log_link_traffic(Rc::clone(&member)));
+    tokio::task::spawn_local(remote_reads::run(Rc::clone(&member)));
+    tokio::task::spawn_local(notify_entries::report_pace(Rc::clone(&member), backend));
+    tokio::task::spawn_local(notify_entries::report_reachability(member));
     let following = reload.follow(move |settings| fleet.set_seeds(&settings.seeds));
     tokio::task::spawn_local(following);
     signals.next().await;
--- a/crates/direct/src/agent/rank.rs
+++ b/crates/direct/src/agent/rank.rs
@@ -1,4 +1,4 @@
-//! What a platform must give about the rank beside an agent.
+//! Interface to a rank, which a platform implements.
 
 use hickorycross_core::map_change::{Armed, EngineOrder};
 use std::future::Future;
@@ -6,111 +6,114 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// A call to a rank in progress.
+/// Future of a call to a rank.
 pub type RankFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, RankError>> + 'a>>;
 
-/// A rank's word about itself, as of this moment.
+/// State of a rank, as the rank reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RankReport {
-    /// Its place in a group; `None` for a backend server that stands alone.
+    /// Membership in a group; `None` for a backend server that belongs to no group.
     pub membership: Option<GroupMembership>,
-    /// The last pass that was begun.
+    /// Number of the last pass that has begun.
     pub step: u64,
-    /// The map in use.
+    /// Version of the map in use.
     pub map: u64,
-    /// The newest map whose copies are complete.
+    /// Version of the newest map that is copied completely.
     pub prepared: Option<u64>,
-    /// The map to which it will switch.
+    /// The pending switch to another map, if any.
     pub armed: Option<Armed>,
-    /// The pass that does not begin before it is let go.
+    /// Number of the pass that the rank holds, if any. It does not begin until it is released.
     pub held_step: Option<u64>,
-    /// Requests that wait there.
+    /// Number of requests that wait at the rank.
     pub waiting: u32,
-    /// Requests that run there.
+    /// Number of requests that run at the rank.
     pub running: u32,
-    /// How much longer its own work takes than usual, in thousandths; 1000 is usual.
+    /// Duration of the rank's own work relative to its usual duration, in thousandths.
     pub pace_permille: u32,
 }
 
-/// A place in a group.
+/// Membership of a rank in a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupMembership {
-    /// The group.
+    /// Name of the group.
     pub group: String,
-    /// Its place.
+    /// Number of the rank within the group.
     pub rank: u16,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub ranks: u16,
-    /// Grows each time the group is formed.
+    /// Epoch of the group, which increases each time the group is formed.
     pub epoch: u64,
-    /// Whether the group makes passes.
+    /// Whether the group runs passes.
     pub is_open: bool,
 }
 
-/// How often experts were chosen since the rank started.
+/// How often each expert was chosen since the rank started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExpertCounts {
-    /// The group's epoch.
+    /// Epoch of the group.
     pub epoch: u64,
-    /// When the rank started, in Unix milliseconds; 0 when it does not say. It counts anew from then.
+    /// Unix time in milliseconds when the rank started, and the counts with it; 0 if it does not
+    /// tell.
     pub born_ms: u64,
-    /// Choices, layer after layer, expert after expert.
+    /// Number of choices, ordered by layer and then by expert.
     pub choices: Vec<u64>,
 }
 
 /// Experts that a rank holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldExperts {
-    /// The map in use.
+    /// Version of the map in use.
     pub map: u64,
-    /// Experts by layer.
+    /// Numbers of the experts, by layer.
     pub experts: Vec<Vec<u16>>,
 }
 
-/// A rank's answer to an order.
+/// Answer of a rank to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderReply {
-    /// It has begun, or holds already.
+    /// The order is being carried out, or is in effect already.
     Accepted,
-    /// It does not fit the rank's state.
+    /// The order does not fit the state of the rank.
     Conflict,
-    /// The rank has seen a higher fence.
+    /// The rank has seen a higher fencing number.
     Fenced,
-    /// The rank does not know such an order, or is another incarnation.
+    /// The rank does not support such an order, or is another incarnation; contains the status
+    /// code.
     Rejected(u16),
 }
 
-/// Why a call gave nothing.
+/// Error of a call to a rank.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RankError {
-    /// No answer came. An order may have been accepted, or may be carried out later.
+    /// No answer arrived. The rank may have accepted an order, or may still carry it out.
     #[error("no answer: {0}")]
     Unanswered(String),
-    /// The answer could not be understood.
+    /// The answer could not be decoded.
     #[error("unreadable answer: {0}")]
     Unreadable(String),
 }
 
-/// Talks to one rank.
+/// Client of one rank.
 pub trait RankClient {
-    /// Reads the rank's report.
+    /// Reads the report of the rank.
     fn report(&self) -> RankFuture<'_, RankReport>;
 
-    /// Reads how often experts were chosen.
+    /// Reads how often each expert was chosen.
     fn counts(&self) -> RankFuture<'_, ExpertCounts>;
 
     /// Reads which experts the rank holds.
     fn held_experts(&self) -> RankFuture<'_, HeldExperts>;
 
-    /// Gives an order.
+    /// Sends an order to the rank.
     fn order<'a>(&'a self, order: &'a EngineOrder) -> RankFuture<'a, OrderReply>;
 }
 
-/// Gives clients of ranks by their address, also of those on other machines.
+/// Creates clients of ranks by their addresses.
 pub trait RankClients {
-    /// The client of the rank at `address` on the own machine, which answers within milliseconds.
+    /// Returns the client of the rank at `address` on the same instance, which answers within
+    /// milliseconds.
     fn local(&self, address: SocketAddr) -> Rc<dyn RankClient>;
 
-    /// The client of the rank at `address` on another machine.
+    /// Returns the client of the rank at `address` on another instance.
     fn remote(&self, address: SocketAddr) -> Rc<dyn RankClient>;
 }
--- a/crates/direct/src/agent/relay.rs
+++ b/crates/direct/src/agent/relay.rs
@@ -1,39 +1,39 @@
-//! Orders that go to many ranks at once, passed on by some of their agents.
+//! Relays orders that go to many ranks at once through some of their agents.
 //!
-//! A map for a group of 72 ranks has some 3 KB. Sent to each of them over the link of one small machine
-//! it takes half a second, in which the group stays uneven. Each of a few agents passes it on to a few
-//! others instead, over its own link.
+//! A map for a group of 72 ranks has about 3 KB. Sending it to each rank over the link of one small
+//! instance takes half a second, for which the group stays unbalanced. Instead, a few agents each
+//! relay it to a few others over their own links.
 
-use super::datagram::{Datagram, Leg};
-use super::give::give;
+use super::datagram::{Datagram, RelayTarget};
+use super::dispatch::dispatch;
 use super::member::Member;
 use hickorycross_core::map_change::{LeaderAction, RankOrder};
 use indexmap::IndexMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// An order to be passed on.
-struct Passed {
+/// An order that another rank's agent relays.
+struct RelayedOrder {
     rank: u16,
-    /// Names the order.
+    /// Number of the order.
     number: u64,
     order: RankOrder,
 }
 
-/// Orders to be passed on, by the rank whose agent does so.
+/// Orders to be relayed, by the rank whose agent relays them.
 #[derive(Default)]
 pub(super) struct Relays {
-    by_relay: IndexMap<u16, Vec<Passed>>,
+    by_relay: IndexMap<u16, Vec<RelayedOrder>>,
 }
 
 impl Relays {
-    /// Takes those orders out of `actions` that other agents pass on.
-    pub(super) fn take_from(actions: &mut Vec<LeaderAction>) -> Self {
+    /// Removes the orders that other agents relay from `actions`.
+    pub(super) fn extract_from(actions: &mut Vec<LeaderAction>) -> Self {
         let mut relays = Self::default();
         actions.retain(|action| match action {
-            LeaderAction::Send { rank, relayed_by: Some(via), number, order, .. } => {
-                let passed = Passed { rank: *rank, number: *number, order: order.clone() };
-                relays.by_relay.entry(*via).or_default().push(passed);
+            LeaderAction::Send { rank, relayed_by: Some(relay_rank), number, order, .. } => {
+                let relayed = RelayedOrder { rank: *rank, number: *number, order: order.clone() };
+                relays.by_relay.entry(*relay_rank).or_default().push(relayed);
                 false
             }
             LeaderAction::Send { .. } | LeaderAction::Note(_) => true,
@@ -41,8 +41,10 @@
         relays
     }
 
-    /// Gives the order to `rank` together with those that its agent is to pass on.
-    pub(super) async fn give(
+    /// Sends an order to `rank` together with the orders that its agent is to relay.
+    ///
+    /// Orders for ranks that cannot be reached through the relay are sent directly.
+    pub(super) async fn dispatch(
         &mut self,
         member: &Rc<Member>,
         rank: u16,
@@ -50,29 +52,36 @@
         order: RankOrder,
     ) {
         let others = self.by_relay.swap_remove(&rank).unwrap_or_default();
-        let relay = member.ranks.borrow().get(&rank).copied();
-        let Some(relay) = relay.filter(|_| !others.is_empty() && !member.silent.has(rank)) else {
-            give(member, rank, rank, number, order).await;
-            for Passed { rank, number, order } in others {
-                give(member, rank, rank, number, order).await;
+        let relay = member.agents.borrow().get(&rank).copied();
+        let Some(relay) =
+            relay.filter(|_| !others.is_empty() && !member.silent_ranks.contains(rank))
+        else {
+            dispatch(member, rank, rank, number, order).await;
+            for RelayedOrder { rank, number, order } in others {
+                dispatch(member, rank, rank, number, order).await;
             }
             return;
         };
-        let mut legs = Vec::new();
-        for Passed { rank, number, order } in others {
-            let agent = member.ranks.borrow().get(&rank).copied();
-            match agent.filter(|_| !member.silent.has(rank)) {
-                Some(agent) => legs.push(Leg { agent, number }),
-                None => give(member, rank, rank, number, order).await,
+        let mut targets = Vec::new();
+        for RelayedOrder { rank, number, order } in others {
+            let agent = member.agents.borrow().get(&rank).copied();
+            match agent.filter(|_| !member.silent_ranks.contains(rank)) {
+                Some(agent) => targets.push(RelayTarget { agent, number }),
+                None => dispatch(member, rank, rank, number, order).await,
             }
         }
-        member.send(relay, &Datagram::Relay { number, order, legs }).await;
+        member.send(relay, &Datagram::Relay { number, order, targets }).await;
     }
 }
 
-/// Passes an order of the leader at `leader` on.
-pub(super) async fn pass_on(member: &Member, leader: SocketAddr, order: &RankOrder, legs: &[Leg]) {
-    for Leg { agent, number } in legs {
+/// Forwards an order of the leader at `leader` to other agents.
+pub(super) async fn forward(
+    member: &Member,
+    leader: SocketAddr,
+    order: &RankOrder,
+    targets: &[RelayTarget],
+) {
+    for RelayTarget { agent, number } in targets {
         let (number, order) = (*number, order.clone());
         member.send(*agent, &Datagram::Relayed { leader, number, order }).await;
     }
--- a/crates/direct/src/agent/state.rs
+++ b/crates/direct/src/agent/state.rs
@@ -1,4 +1,4 @@
-//! What an agent remembers between messages, apart from what it does with it.
+//! Parts of the state that an agent keeps between messages.
 
 use hickorycross_core::direct::BootMs;
 use hickorycross_core::map_change::StatusCollection;
@@ -6,27 +6,30 @@
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, SocketAddr};
 
-/// Orders on their way, by rank and number. The leader sends again sooner than an answer from afar
-/// can come.
+/// Orders to ranks on other instances that are being executed, by rank and order number.
+///
+/// The leader repeats an order sooner than a remote rank can answer; repetitions are dropped while
+/// the order is in flight.
 #[derive(Default)]
-pub(super) struct UnderWay(pub(super) RefCell<IndexSet<(u16, u64)>>);
+pub(super) struct OrdersInFlight(pub(super) RefCell<IndexSet<(u16, u64)>>);
 
-/// The leader in whose place this agent is to lead when it goes silent.
+/// The leader that this agent watches, to take over when it goes silent.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Watched {
+pub(super) struct WatchedLeader {
     pub(super) machine: IpAddr,
     pub(super) fence: u64,
-    /// How many other agents take over sooner.
-    pub(super) place: u8,
+    /// Number of agents that take over before this one.
+    pub(super) predecessors: u8,
     pub(super) heard_at: BootMs,
 }
 
-/// The collection under way.
+/// The collection of statuses that this agent makes for a leader.
 #[derive(Default)]
-pub(super) struct Collecting {
+pub(super) struct CollectionState {
+    /// The collection in progress, if any.
     pub(super) open: RefCell<Option<StatusCollection>>,
-    /// Tells collections apart, so that one is not closed by the wait for another.
+    /// Number of the current collection, so that the timeout of an earlier one does not close it.
     pub(super) number: Cell<u64>,
-    /// Who asked last.
+    /// Address of the leader that requested a collection last.
     pub(super) leader: Cell<Option<SocketAddr>>,
 }
--- a/crates/direct/src/agent/status.rs
+++ b/crates/direct/src/agent/status.rs
@@ -1,4 +1,4 @@
-//! What an agent says of its rank.
+//! Builds the status of the own rank that the agent sends to the leader.
 
 use super::member::Member;
 use super::rank::{ExpertCounts, RankReport};
@@ -6,34 +6,37 @@
 use crate::decision_log::DecisionLog;
 use hickorycross_core::map_change::{CountsSample, HoldEvent, RankStatus};
 
-/// Reads the rank and tells of it.
-pub(crate) async fn status(
+/// Reads the status of the own rank; `None` if the rank does not answer or is in no group.
+///
+/// The counts are included if `wants_counts` is set, and the experts unless the rank uses
+/// `known_map`.
+pub(crate) async fn read_status(
     member: &Member,
     known_map: Option<u64>,
     wants_counts: bool,
 ) -> Option<RankStatus> {
-    let report = member.engine.report().await.ok()?;
+    let report = member.rank_client.report().await.ok()?;
     member.pace_permille.set(report.pace_permille);
-    note_hold(member, &report);
-    let told = status_of(report)?;
+    log_hold(member, &report);
+    let status = status_from_report(report)?;
     let counts = if wants_counts {
-        sample(member, member.engine.counts().await.ok()?)
+        counts_since_last(member, member.rank_client.counts().await.ok()?)
     } else {
         CountsSample::default()
     };
-    let experts = if known_map == Some(told.map) {
+    let experts = if known_map == Some(status.map) {
         None
     } else {
-        let lists = member.engine.held_experts().await.ok()?;
-        (lists.map == told.map).then_some(lists.experts)
+        let held_experts = member.rank_client.held_experts().await.ok()?;
+        (held_experts.map == status.map).then_some(held_experts.experts)
     };
     let highest_fence = member.highest_fence.get();
     let witness = member.witness.get();
-    Some(RankStatus { highest_fence, witness, counts, experts, ..told })
+    Some(RankStatus { highest_fence, witness, counts, experts, ..status })
 }
 
-/// Says that the own rank holds a pass, and for how long it did.
-fn note_hold(member: &Member, report: &RankReport) {
+/// Logs and records when the own rank begins and ends to hold a pass.
+fn log_hold(member: &Member, report: &RankReport) {
     let event = member.hold_clock.borrow_mut().note(boot_now(), report.step, report.held_step);
     let line = DecisionLog::fields("hold").with("now_step", report.step);
     match event {
@@ -52,8 +55,9 @@
     }
 }
 
-/// What a rank's report alone says of it: nothing that its agent knows.
-pub(crate) fn status_of(report: RankReport) -> Option<RankStatus> {
+/// Converts a rank's report to a status, without the parts that only its agent knows. Returns
+/// `None` if the rank is in no group.
+pub(crate) fn status_from_report(report: RankReport) -> Option<RankStatus> {
     let membership = report.membership?;
     Some(RankStatus {
         group: membership.group,
@@ -75,8 +79,8 @@
     })
 }
 
-/// Choices since the last sample; none when the rank has started anew.
-fn sample(member: &Member, counts: ExpertCounts) -> CountsSample {
+/// Returns the counts since the previous sample; none if the rank has restarted since.
+fn counts_since_last(member: &Member, counts: ExpertCounts) -> CountsSample {
     let mut last = member.last_counts.borrow_mut();
     let before =
         last.as_ref().filter(|last| last.epoch == counts.epoch && last.born_ms == counts.born_ms);
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -1,15 +1,15 @@
-//! What processes of the fleet tell each other: the configuration with its age, the backend servers,
-//! what entries have seen of requests, and each other's addresses.
+//! Exchange of state between the processes of the fleet: the configuration with its age, the
+//! backend servers, reports about requests and backend servers, and the addresses of entries.
 //!
-//! An answer is about the moment at which the question was sent, so a question that travels or
-//! waits for long makes the answer look older than it is, never fresher.
+//! Ages in a response count as of the moment at which the request was sent. A delay in transit
+//! therefore makes the content look older than it is, never fresher.
 
 use crate::clock::boot_now;
 use crate::decision_log::DecisionLog;
 use crate::gossip::{GossipReport, receive_reports};
 use crate::peer_call::{PeerCallError, post};
 use crate::state::EntryState;
-use crate::store_watch::offer;
+use crate::store_watch::adopt_catalog;
 use futures_util::future::join_all;
 use hickorycross_core::direct::{BackendServer, BootMs, Catalog};
 use serde::{Deserialize, Serialize};
@@ -17,124 +17,135 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Path of the exchange on the control address.
+/// HTTP path of the exchange on the control address.
 pub(crate) const EXCHANGE_PATH: &str = "/exchange";
 
-/// Age of the configuration from which peers are asked for a fresher word.
+/// Age of the configuration above which it counts as stale, and peers are asked for a fresher
+/// confirmation.
 ///
-/// A little over what the entry's own watch reaches while the store answers (2 s), so that nothing
-/// is asked for freshness on a calm day.
-const ASK_FROM_AGE_MS: u64 = 2_100;
+/// It is slightly more than the age that the entry's own watch reaches while the store answers (2
+/// s), so that peers are not asked without need.
+const STALE_AGE_MS: u64 = 2_100;
 
-/// Pause between questions while the own word is old.
-const URGENT_PAUSE_MS: u64 = 400;
+/// Interval between requests while the configuration is stale.
+const STALE_INTERVAL_MS: u64 = 400;
 
-/// Time at the start of a process in which callers wait for a peer's words. One that lives answers within some
-/// milliseconds. After a loss of many machines peers say nothing, and callers that wait for them come all at once
-/// when the groups are back.
-const FIRST_ANSWER_MS: u64 = 60;
+/// Time for which callers wait at the start of a process for the reports of its peers. A live peer
+/// answers within some milliseconds. After the loss of many instances no peer answers, and callers
+/// that have waited arrive all at once when the groups are back.
+const INITIAL_ANSWER_TIMEOUT_MS: u64 = 60;
 
-/// Questions sent at the start of a process, so that seeds learn of it soon.
-const FIRST_QUESTIONS: u32 = 3;
+/// Number of requests sent at the short interval after the start, so that seeds learn of the
+/// process soon.
+const INITIAL_REQUESTS: u32 = 3;
 
-/// Pause between questions while the own word is fresh. They keep the members known, and bring what an entry
-/// missed of its peers' words while it was cut off.
-const CALM_PAUSE_MS: u64 = 2_000;
+/// Interval between requests while the configuration is fresh. They keep the peers known, and fetch
+/// the reports that an entry missed while it was partitioned.
+const INTERVAL_MS: u64 = 2_000;
 
-/// Addresses of members in one answer: about 700 bytes. With fewer the entries of a large fleet do not hear
-/// of each other before they forget each other.
-const MOST_MEMBERS: usize = 64;
+/// Maximum number of entry addresses in a response, about 700 bytes. With fewer, the entries of a
+/// large fleet would not hear of each other before they expire from each other's tables.
+const MAX_MEMBERS: usize = 64;
 
-/// A question to a peer.
+/// A request to a peer, which may also push reports to it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct ExchangeRequest {
-    /// Where the asker answers, if it does.
+    /// Control address of the sender, if it answers requests itself.
     pub(crate) from: Option<SocketAddr>,
-    /// Version of the configuration that the asker has.
+    /// Version of the sender's configuration.
     pub(crate) version: u64,
-    /// The store's revision of the asker's list of backend servers.
+    /// Revision of the store at which the sender's list of backend servers was current.
     pub(crate) backends_as_of: u64,
-    /// What an agent says of a backend server.
-    pub(crate) word: Option<BackendWord>,
-    /// What the asker tells.
-    pub(crate) shared: Vec<GossipReport>,
-    /// The asker's sum over the words that it has, if it wants those that it lacks.
-    pub(crate) shared_sum: Option<u64>,
+    /// Report of an agent about a backend server.
+    #[serde(rename = "word")]
+    pub(crate) backend_report: Option<BackendReport>,
+    /// Reports that the sender pushes to the peer.
+    #[serde(rename = "shared")]
+    pub(crate) reports: Vec<GossipReport>,
+    /// Checksum over all reports of the sender. If it differs from the peer's, the peer answers
+    /// with all its reports; if it is `None`, with none.
+    #[serde(rename = "shared_sum")]
+    pub(crate) reports_checksum: Option<u64>,
 }
 
 impl ExchangeRequest {
-    /// A question that brings nothing back but who else is there.
-    pub(crate) const fn of_nothing() -> Self {
+    /// Returns a request without reports that asks for nothing but the addresses of entries.
+    pub(crate) const fn empty() -> Self {
         Self {
             from: None,
             version: u64::MAX,
             backends_as_of: u64::MAX,
-            word: None,
-            shared: Vec::new(),
-            shared_sum: None,
+            backend_report: None,
+            reports: Vec::new(),
+            reports_checksum: None,
         }
     }
 }
 
-/// What an agent says of a backend server.
+/// Report of an agent about a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct BackendWord {
-    /// Where the backend server listens.
+pub(crate) struct BackendReport {
+    /// Address at which the backend server listens.
     pub(crate) address: SocketAddr,
-    /// What is said of it.
-    pub(crate) said: Said,
+    /// What the agent observed.
+    #[serde(rename = "said")]
+    pub(crate) observation: BackendObservation,
 }
 
-/// What may be said of a backend server.
+/// Observation of a backend server by an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Said {
-    /// By the agent beside it: how long its work takes, against the usual time.
+pub(crate) enum BackendObservation {
+    /// Duration of the rank's own work, reported by the agent on its instance.
     Pace {
-        /// In thousandths of that.
+        /// Duration relative to the usual one, in thousandths.
         permille: u32,
     },
-    /// By the agent that leads its group: whether the agent beside it is heard.
-    Hearing {
-        /// Whether it is.
-        is_heard: bool,
+    /// Whether the agent of the rank answers, reported by the agent that leads the group.
+    #[serde(rename = "Hearing")]
+    AgentReachability {
+        /// Whether messages from the agent arrive.
+        #[serde(rename = "is_heard")]
+        is_reachable: bool,
     },
 }
 
-/// A peer's answer.
+/// A peer's response.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct ExchangeResponse {
-    /// Version in force at the peer.
+    /// Version of the configuration in force at the peer.
     pub(crate) version: u64,
-    /// Since when the peer's word is confirmed by the store, if ever.
+    /// Time since the store last confirmed the peer's configuration; `None` if it never has.
     pub(crate) age_ms: Option<u64>,
-    /// The configuration, when the asker has an older one.
+    /// The configuration, if it is newer than that of the requester.
     pub(crate) catalog: Option<Catalog>,
-    /// The store's revision of the peer's list of backend servers.
+    /// Revision of the store at which the peer's list of backend servers was current.
     pub(crate) backends_as_of: u64,
-    /// The list, when the asker has an older one.
+    /// The list of backend servers, if it is newer than that of the requester.
     pub(crate) backends: Option<Vec<BackendServer>>,
-    /// Members, each with the time since it was heard of.
+    /// Addresses of entries, each with the time in milliseconds since it was last known to be
+    /// alive.
     pub(crate) members: Vec<(SocketAddr, u64)>,
-    /// All that the peer knows of requests, when the asker knows something else.
-    pub(crate) shared: Vec<GossipReport>,
+    /// All reports of the peer, if its checksum differs from that of the requester.
+    #[serde(rename = "shared")]
+    pub(crate) reports: Vec<GossipReport>,
 }
 
-/// Answers a peer's question.
-pub(crate) fn handle_request(state: &EntryState, question: &ExchangeRequest) -> ExchangeResponse {
+/// Applies a peer's request and returns the response.
+pub(crate) fn handle_request(state: &EntryState, request: &ExchangeRequest) -> ExchangeResponse {
     let now = boot_now();
-    if let Some(from) = question.from {
+    if let Some(from) = request.from {
         note_member(state, from, now);
     }
-    if let Some(word) = question.word {
-        note_word(state, word, now);
+    if let Some(report) = request.backend_report {
+        note_backend_report(state, report, now);
     }
-    receive_reports(state, &question.shared, true);
+    receive_reports(state, &request.reports, true);
     let belief = state.catalog.borrow();
-    let newer = belief.catalog().filter(|catalog| catalog.version > question.version);
+    let newer = belief.catalog().filter(|catalog| catalog.version > request.version);
     let backends_as_of = state.backends_as_of.get();
-    let is_newer = backends_as_of > question.backends_as_of;
+    let is_newer = backends_as_of > request.backends_as_of;
     let backends = is_newer.then(|| state.backends.borrow().servers().cloned().collect());
-    let peers = state.peers.borrow().most_recent(MOST_MEMBERS);
+    let peers = state.peers.borrow().most_recent(MAX_MEMBERS);
     let members = peers.iter().map(|peer| (peer.address, now.since(peer.last_seen_at)));
     ExchangeResponse {
         version: belief.version(),
@@ -143,53 +154,54 @@
         backends_as_of,
         backends,
         members: members.collect(),
-        shared: state.words_for(question.shared_sum, now),
+        reports: state.words_for(request.reports_checksum, now),
     }
 }
 
-fn note_word(state: &EntryState, word: BackendWord, now: BootMs) {
-    let BackendWord { address, said } = word;
+/// Applies the report of an agent to the table of backend servers.
+fn note_backend_report(state: &EntryState, report: BackendReport, now: BootMs) {
+    let BackendReport { address, observation } = report;
     let line = DecisionLog::fields("backend-server").with("address", address);
     let mut backends = state.backends.borrow_mut();
-    match said {
-        Said::Pace { permille } => {
+    match observation {
+        BackendObservation::Pace { permille } => {
             backends.note_pace(address, permille, now);
             state.log.note(line.with("pace_permille", permille).with("outcome", "pace"));
         }
-        Said::Hearing { is_heard } => {
-            backends.note_agent_reachable(address, is_heard, now);
-            state.log.note(line.with("outcome", if is_heard { "heard" } else { "unheard" }));
+        BackendObservation::AgentReachability { is_reachable } => {
+            backends.note_agent_reachable(address, is_reachable, now);
+            state.log.note(line.with("outcome", if is_reachable { "heard" } else { "unheard" }));
         }
     }
 }
 
-/// Takes over a peer's answer to a question sent at `sent_at`.
-pub(crate) fn take_over(
+/// Applies a peer's response to a request that was sent at `sent_at`.
+pub(crate) fn apply_response(
     state: &EntryState,
     peer: SocketAddr,
-    answer: ExchangeResponse,
+    response: ExchangeResponse,
     sent_at: BootMs,
 ) {
     note_member(state, peer, boot_now());
-    receive_reports(state, &answer.shared, false);
-    // Peers that live know the same.
+    receive_reports(state, &response.reports, false);
+    // All live peers hold the same reports, so one response suffices.
     state.has_asked_peers.set(true);
-    for (address, silent_ms) in answer.members {
+    for (address, silent_ms) in response.members {
         note_member(state, address, sent_at.before(silent_ms));
     }
-    let confirmed_at = answer.age_ms.map(|age_ms| sent_at.before(age_ms));
-    if let Some(catalog) = answer.catalog {
-        offer(state, catalog, confirmed_at.unwrap_or_default(), "peer");
+    let confirmed_at = response.age_ms.map(|age_ms| sent_at.before(age_ms));
+    if let Some(catalog) = response.catalog {
+        adopt_catalog(state, catalog, confirmed_at.unwrap_or_default(), "peer");
     }
     if let Some(confirmed_at) = confirmed_at {
-        state.catalog.borrow_mut().confirm(answer.version, confirmed_at);
+        state.catalog.borrow_mut().confirm(response.version, confirmed_at);
     }
-    let Some(backends) = answer.backends else { return };
-    if answer.backends_as_of > state.backends_as_of.get() {
-        state.backends_as_of.set(answer.backends_as_of);
+    let Some(backends) = response.backends else { return };
+    if response.backends_as_of > state.backends_as_of.get() {
+        state.backends_as_of.set(response.backends_as_of);
         let gone = state.backends.borrow_mut().replace_all(backends, boot_now(), None);
         let line = DecisionLog::fields("backend-servers-heard").with("peer", peer);
-        let line = line.with("as_of", answer.backends_as_of);
+        let line = line.with("as_of", response.backends_as_of);
         state.log.note(line.with("gone", gone.join(",")));
     }
 }
@@ -201,36 +213,40 @@
     }
 }
 
-/// Asks peers for ever: all that are known at the start, then one at a time, often while the own word is
-/// old, now and then otherwise.
+/// Exchanges state with peers continuously: at the start with all known ones, then with one at a
+/// time, more often while the own configuration is stale.
 pub(crate) async fn exchange_with_peers(state: Rc<EntryState>) {
-    let mut asked = 0;
+    let mut sent_count = 0;
     let first = state.peers.borrow().candidates();
-    let asking = first.into_iter().map(|peer| ask(Rc::clone(&state), peer));
-    // Whoever has not answered by then is asked again below.
-    let _ = tokio::time::timeout(Duration::from_millis(FIRST_ANSWER_MS), join_all(asking)).await;
+    let exchange = first.into_iter().map(|peer| exchange_with_peer(Rc::clone(&state), peer));
+    // Peers that have not answered by then are asked again below.
+    let _ =
+        tokio::time::timeout(Duration::from_millis(INITIAL_ANSWER_TIMEOUT_MS), join_all(exchange))
+            .await;
     state.has_asked_peers.set(true);
     loop {
         if let Some(peer) = state.next_to_ask() {
-            let asking = ask(Rc::clone(&state), peer);
-            tokio::task::spawn_local(asking);
-            asked += 1;
+            let exchange = exchange_with_peer(Rc::clone(&state), peer);
+            tokio::task::spawn_local(exchange);
+            sent_count += 1;
         }
         expire(&state);
-        pause(&state, asked).await;
+        pause(&state, sent_count).await;
     }
 }
 
-async fn pause(state: &EntryState, asked: u32) {
-    for _ in 0..CALM_PAUSE_MS / URGENT_PAUSE_MS {
-        tokio::time::sleep(Duration::from_millis(URGENT_PAUSE_MS)).await;
+/// Waits until the next request is due.
+async fn pause(state: &EntryState, sent_count: u32) {
+    for _ in 0..INTERVAL_MS / STALE_INTERVAL_MS {
+        tokio::time::sleep(Duration::from_millis(STALE_INTERVAL_MS)).await;
         let age_ms = state.catalog.borrow().age_ms(boot_now());
-        if asked < FIRST_QUESTIONS || age_ms.is_none_or(|age_ms| age_ms > ASK_FROM_AGE_MS) {
+        if sent_count < INITIAL_REQUESTS || age_ms.is_none_or(|age_ms| age_ms > STALE_AGE_MS) {
             return;
         }
     }
 }
 
+/// Removes peers that have not been heard of for too long.
 fn expire(state: &EntryState) {
     let gone = state.peers.borrow_mut().expire(boot_now());
     for peer in &gone {
@@ -241,29 +257,34 @@
     }
 }
 
-async fn ask(state: Rc<EntryState>, peer: SocketAddr) {
-    let shared_sum = Some(state.words_sum());
-    exchange_with(&state, peer, ExchangeRequest { shared_sum, ..question(&state) }).await;
+/// Sends a request that fetches the reports this entry lacks.
+async fn exchange_with_peer(state: Rc<EntryState>, peer: SocketAddr) {
+    let reports_checksum = Some(state.words_sum());
+    send_and_apply(&state, peer, ExchangeRequest { reports_checksum, ..new_request(&state) }).await;
 }
 
-/// Tells a peer what entries tell each other.
-pub(crate) async fn tell(state: Rc<EntryState>, peer: SocketAddr, shared: Vec<GossipReport>) {
-    exchange_with(&state, peer, ExchangeRequest { shared, ..question(&state) }).await;
+/// Pushes reports to a peer.
+pub(crate) async fn push_reports(
+    state: Rc<EntryState>,
+    peer: SocketAddr,
+    reports: Vec<GossipReport>,
+) {
+    send_and_apply(&state, peer, ExchangeRequest { reports, ..new_request(&state) }).await;
 }
 
-fn question(state: &EntryState) -> ExchangeRequest {
+fn new_request(state: &EntryState) -> ExchangeRequest {
     ExchangeRequest {
         from: state.settings.borrow().listen.control,
         version: state.catalog.borrow().version(),
         backends_as_of: state.backends_as_of.get(),
-        ..ExchangeRequest::of_nothing()
+        ..ExchangeRequest::empty()
     }
 }
 
-async fn exchange_with(state: &EntryState, peer: SocketAddr, question: ExchangeRequest) {
+async fn send_and_apply(state: &EntryState, peer: SocketAddr, request: ExchangeRequest) {
     let sent_at = boot_now();
-    match call(&state.client, peer, &question).await {
-        Ok(answer) => take_over(state, peer, answer, sent_at),
+    match send(&state.client, peer, &request).await {
+        Ok(response) => apply_response(state, peer, response, sent_at),
         Err(error) => {
             metrics::counter!("hickorycross_exchange_failures_total").increment(1);
             let line = DecisionLog::fields("member").with("peer", peer).with("error", error);
@@ -272,11 +293,11 @@
     }
 }
 
-/// Asks one peer.
-pub(crate) async fn call(
+/// Sends a request to a peer and returns its response.
+pub(crate) async fn send(
     client: &reqwest::Client,
     peer: SocketAddr,
-    question: &ExchangeRequest,
+    request: &ExchangeRequest,
 ) -> Result<ExchangeResponse, PeerCallError> {
-    post(client, peer, EXCHANGE_PATH, question).await
+    post(client, peer, EXCHANGE_PATH, request).await
 }
--- a/crates/direct/src/gossip.rs
+++ b/crates/direct/src/gossip.rs
@@ -1,8 +1,9 @@
-//! Spreads what one entry has seen among all entries.
+//! Spreads reports of one entry to all entries by gossip.
 //!
-//! Whoever learns something new tells a few peers at once, and each of them does the same, so that all of a
-//! large fleet know it after a few rounds. What a process misses while it is cut off, it gets with its next
-//! question ([`crate::exchange`]).
+//! An entry that learns something new pushes it to a few peers at once, and each of these does the
+//! same, so it reaches every entry of a large fleet after a few rounds. A process that misses
+//! reports while it is partitioned fetches those about requests and limits with its next
+//! request to a peer (see [`crate::exchange`]).
 
 use crate::clock::boot_now;
 use crate::decision_log::DecisionLog;
@@ -18,188 +19,193 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Pause between two rounds: some times the way between two entries.
-const ROUND_MS: u64 = 250;
+/// Interval between two rounds: several times the latency between two entries.
+const ROUND_INTERVAL_MS: u64 = 250;
 
-/// Rounds in which a word is passed on by one entry.
-const ROUNDS: u32 = 2;
+/// Number of rounds in which one entry pushes a report.
+const ROUNDS_PER_REPORT: u32 = 2;
 
-/// Peers that get it in one round. Eight peers of each entry leave out less than one in a thousand; a small
-/// fleet is told whole at once.
-const PEERS_A_ROUND: usize = 4;
+/// Number of peers that get a report in one round. Eight peers per entry miss less than one entry
+/// in a thousand, and a small fleet is covered at once.
+const PEERS_PER_ROUND: usize = 4;
 
-/// Words in one message. With the round this bounds what the sudden end of many backend servers costs on
-/// the network.
-const MOST_WORDS: usize = 24;
+/// Maximum number of reports in one message. Together with the interval, this bounds the network
+/// load when many backend servers end at once.
+const MAX_REPORTS_PER_MESSAGE: usize = 24;
 
-/// Words that wait to be passed on. More are left to the next question of who lacks them.
-const MOST_WAITING: usize = 256;
+/// Maximum number of queued reports. Entries that miss the others fetch them with their next
+/// request to a peer.
+const MAX_QUEUED: usize = 256;
 
-/// What entries tell each other.
+/// A report that entries spread among themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum GossipReport {
-    /// What was seen of a request.
+    /// An observation of a request.
     Request(RequestReport),
-    /// What a backend server in need takes.
+    /// The request rate that an overloaded backend server announces as its limit.
     Limit(LimitReport),
-    /// A rank from which nothing comes.
+    /// A rank whose running streams get no events.
     Quiet(QuietReport),
 }
 
 impl GossipReport {
-    /// The same word `span_ms` later.
+    /// Returns the report with its age increased by `span_ms`.
     const fn aged(self, span_ms: u64) -> Self {
         match self {
-            Self::Request(word) => {
-                Self::Request(RequestReport { age_ms: word.age_ms.saturating_add(span_ms), ..word })
+            Self::Request(report) => Self::Request(RequestReport {
+                age_ms: report.age_ms.saturating_add(span_ms),
+                ..report
+            }),
+            Self::Limit(report) => {
+                Self::Limit(LimitReport { age_ms: report.age_ms.saturating_add(span_ms), ..report })
             }
-            Self::Limit(word) => {
-                Self::Limit(LimitReport { age_ms: word.age_ms.saturating_add(span_ms), ..word })
-            }
-            Self::Quiet(word) => {
-                Self::Quiet(QuietReport { age_ms: word.age_ms.saturating_add(span_ms), ..word })
+            Self::Quiet(report) => {
+                Self::Quiet(QuietReport { age_ms: report.age_ms.saturating_add(span_ms), ..report })
             }
         }
     }
 }
 
-/// Words on their way to other entries.
+/// Queue of reports to push to peers.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     waiting: RefCell<VecDeque<Outgoing>>,
     filled: Notify,
 }
 
+/// A queued report.
 #[derive(Clone, Copy, Debug)]
 struct Outgoing {
-    word: GossipReport,
+    report: GossipReport,
     noted_at: BootMs,
     rounds_left: u32,
 }
 
 impl Outbox {
-    /// Adds a word; when there is no room the oldest one goes.
-    pub(crate) fn add(&self, word: GossipReport, now: BootMs) {
+    /// Appends a report. If the queue is full, the oldest one is dropped.
+    pub(crate) fn add(&self, report: GossipReport, now: BootMs) {
         let mut waiting = self.waiting.borrow_mut();
-        if waiting.len() >= MOST_WAITING {
+        if waiting.len() >= MAX_QUEUED {
             waiting.pop_front();
         }
-        waiting.push_back(Outgoing { word, noted_at: now, rounds_left: ROUNDS });
+        waiting.push_back(Outgoing { report, noted_at: now, rounds_left: ROUNDS_PER_REPORT });
         self.filled.notify_one();
     }
 
-    /// Words of the next round, with their present age.
+    /// Returns the reports of the next round with their present age.
     fn next_round(&self, now: BootMs) -> Vec<GossipReport> {
         let mut waiting = self.waiting.borrow_mut();
-        let count = waiting.len().min(MOST_WORDS);
-        let mut words = Vec::with_capacity(count);
+        let count = waiting.len().min(MAX_REPORTS_PER_MESSAGE);
+        let mut reports = Vec::with_capacity(count);
         for mut outgoing in waiting.drain(..count).collect::<Vec<_>>() {
-            words.push(outgoing.word.aged(now.since(outgoing.noted_at)));
+            reports.push(outgoing.report.aged(now.since(outgoing.noted_at)));
             outgoing.rounds_left -= 1;
             if outgoing.rounds_left > 0 {
                 waiting.push_back(outgoing);
             }
         }
-        words
+        reports
     }
 }
 
-/// Tells peers what is in the outbox, for ever.
+/// Pushes queued reports to peers continuously.
 pub(crate) async fn run(state: Rc<EntryState>) {
     loop {
-        let words = state.outbox.next_round(boot_now());
-        if words.is_empty() {
+        let reports = state.outbox.next_round(boot_now());
+        if reports.is_empty() {
             state.outbox.filled.notified().await;
             continue;
         }
-        let peers = state.peers.borrow().sample(PEERS_A_ROUND, &mut *state.random.borrow_mut());
+        let peers = state.peers.borrow().sample(PEERS_PER_ROUND, &mut *state.random.borrow_mut());
         for peer in peers {
-            let telling = exchange::tell(Rc::clone(&state), peer, words.clone());
-            tokio::task::spawn_local(telling);
+            let push = exchange::push_reports(Rc::clone(&state), peer, reports.clone());
+            tokio::task::spawn_local(push);
         }
-        tokio::time::sleep(Duration::from_millis(ROUND_MS)).await;
+        tokio::time::sleep(Duration::from_millis(ROUND_INTERVAL_MS)).await;
     }
 }
 
-/// Takes over words of a peer, passing on what is new if it was pushed here.
-pub(crate) fn receive_reports(state: &EntryState, words: &[GossipReport], passes_on: bool) {
-    for word in words {
-        match word {
-            GossipReport::Request(word) => hear_of_request(state, *word, passes_on),
-            GossipReport::Limit(word) => hear_of_limit(state, *word, passes_on),
-            GossipReport::Quiet(word) => hear_of_quiet(state, *word),
+/// Applies the reports of a peer. Those that are new are queued for other peers if the peer pushed
+/// them, but not if this entry fetched them.
+pub(crate) fn receive_reports(state: &EntryState, reports: &[GossipReport], is_pushed: bool) {
+    for report in reports {
+        match report {
+            GossipReport::Request(report) => receive_request_report(state, *report, is_pushed),
+            GossipReport::Limit(report) => receive_limit_report(state, *report, is_pushed),
+            GossipReport::Quiet(report) => receive_quiet_report(state, *report),
         }
     }
 }
 
-fn hear_of_request(state: &EntryState, word: RequestReport, passes_on: bool) {
+fn receive_request_report(state: &EntryState, report: RequestReport, is_pushed: bool) {
     let now = boot_now();
-    let word_outcome = state.crashes.borrow_mut().note(word, now);
-    let outcome = match word_outcome {
+    let report_outcome = state.crashes.borrow_mut().note(report, now);
+    let outcome = match report_outcome {
         ReportOutcome::Known => return,
         ReportOutcome::New => "heard",
         ReportOutcome::Contradicted => "answered-here",
     };
-    log_request_report(state, word, outcome);
-    let told = match word_outcome {
+    log_request_report(state, report, outcome);
+    let forwarded = match report_outcome {
         ReportOutcome::Contradicted => {
-            RequestReport { seen: RequestObservation::Answered, age_ms: 0, ..word }
+            RequestReport { seen: RequestObservation::Answered, age_ms: 0, ..report }
         }
-        _ => word,
+        _ => report,
     };
-    if passes_on || word_outcome == ReportOutcome::Contradicted {
-        state.outbox.add(GossipReport::Request(told), now);
+    if is_pushed || report_outcome == ReportOutcome::Contradicted {
+        state.outbox.add(GossipReport::Request(forwarded), now);
     }
 }
 
-fn hear_of_limit(state: &EntryState, word: LimitReport, passes_on: bool) {
+fn receive_limit_report(state: &EntryState, report: LimitReport, is_pushed: bool) {
     let now = boot_now();
-    if !state.limits.borrow_mut().note(word, now) {
+    if !state.limits.borrow_mut().note(report, now) {
         return;
     }
-    log_limit_report(state, word, None);
-    if passes_on {
-        state.outbox.add(GossipReport::Limit(word), now);
+    log_limit_report(state, report, None);
+    if is_pushed {
+        state.outbox.add(GossipReport::Limit(report), now);
     }
 }
 
-fn hear_of_quiet(state: &EntryState, word: QuietReport) {
-    if state.backends.borrow_mut().note_quiet_report(word, boot_now()) {
-        gossip_quiet_rank(state, word, "quiet");
+fn receive_quiet_report(state: &EntryState, report: QuietReport) {
+    if state.backends.borrow_mut().note_quiet_report(report, boot_now()) {
+        gossip_quiet_rank(state, report, "quiet");
     }
 }
 
-/// Passes a word on for a rank that was found quiet, and says so.
-pub(crate) fn gossip_quiet_rank(state: &EntryState, word: QuietReport, outcome: &'static str) {
-    let line = DecisionLog::fields("backend-server").with("address", word.address);
-    state.log.note(line.with("age_ms", word.age_ms).with("outcome", outcome));
-    state.outbox.add(GossipReport::Quiet(word), boot_now());
+/// Logs that a rank was found quiet, and queues the report for the peers.
+pub(crate) fn gossip_quiet_rank(state: &EntryState, report: QuietReport, outcome: &'static str) {
+    let line = DecisionLog::fields("backend-server").with("address", report.address);
+    state.log.note(line.with("age_ms", report.age_ms).with("outcome", outcome));
+    state.outbox.add(GossipReport::Quiet(report), boot_now());
 }
 
-/// Says what a backend server takes; `id` names the one that said so to this entry itself.
-pub(crate) fn log_limit_report(state: &EntryState, word: LimitReport, id: Option<&str>) {
+/// Logs the limit of a backend server; `id` names the server if it announced the limit to this
+/// entry directly.
+pub(crate) fn log_limit_report(state: &EntryState, report: LimitReport, id: Option<&str>) {
     let line = DecisionLog::fields("backend-server").with_some("incarnation", id);
-    let line = line.with("backend_digest", word.incarnation).with("age_ms", word.age_ms);
-    let line = line.with_some("limit_millirequests_per_s", word.millirequests_per_s);
-    let is_limited = word.millirequests_per_s.is_some();
+    let line = line.with("backend_digest", report.incarnation).with("age_ms", report.age_ms);
+    let line = line.with_some("limit_millirequests_per_s", report.millirequests_per_s);
+    let is_limited = report.millirequests_per_s.is_some();
     state.log.note(line.with("outcome", if is_limited { "limited" } else { "limit-over" }));
 }
 
-/// Says what is believed of a request under which a backend server is said to have ended.
-pub(crate) fn log_request_report(state: &EntryState, word: RequestReport, outcome: &'static str) {
+/// Logs what is known of a request during which a backend server has ended.
+pub(crate) fn log_request_report(state: &EntryState, report: RequestReport, outcome: &'static str) {
     let crashes = state.crashes.borrow();
     metrics::gauge!("hickorycross_requests_refused_for_crashes")
         .set(crashes.refused_count() as f64);
-    let line = DecisionLog::fields("request-word").with("digest", word.digest);
-    let line = match word.seen {
+    let line = DecisionLog::fields("request-word").with("digest", report.digest);
+    let line = match report.seen {
         RequestObservation::BackendEnded { incarnation, had_begun } => {
             let line = line.with("backend_digest", incarnation);
             line.with("had_begun", had_begun)
         }
         RequestObservation::Answered => line.with("answered", true),
     };
-    let line = line.with("age_ms", word.age_ms);
-    let line = line.with("ended_under_it", crashes.ended_server_count(word.digest));
-    let line = line.with("is_refused", crashes.is_refused(word.digest));
+    let line = line.with("age_ms", report.age_ms);
+    let line = line.with("ended_under_it", crashes.ended_server_count(report.digest));
+    let line = line.with("is_refused", crashes.is_refused(report.digest));
     state.log.note(line.with("outcome", outcome));
 }
--- a/crates/direct/src/store.rs
+++ b/crates/direct/src/store.rs
@@ -1,91 +1,93 @@
-//! What the platform's store must give: the operators' configuration and the backend servers.
+//! Interface to the platform's store, which holds the operators' configuration and the list of
+//! backend servers.
 
 use hickorycross_core::direct::{BackendServer, Catalog};
 use std::future::Future;
 use std::pin::Pin;
 
-/// A call to the store in progress.
+/// Future of a call to the store.
 pub type StoreFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, StoreError>> + 'a>>;
 
-/// Something read, with the store's revision at which it was true.
+/// A value with the revision of the store at which it was current.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreRead<T> {
-    /// What was read.
+    /// The value.
     pub value: T,
-    /// The store's revision.
+    /// Revision of the store.
     pub as_of: u64,
 }
 
-/// Entries of backend servers, decoded one by one.
+/// Entries of backend servers, each decoded on its own.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BackendList {
-    /// Those that could be understood.
+    /// Entries that could be decoded.
     pub servers: Vec<BackendServer>,
-    /// The others.
+    /// Entries that could not be decoded.
     pub unreadable: Vec<UnreadableBackend>,
 }
 
-/// An entry of a backend server that could not be understood.
+/// An entry of a backend server that could not be decoded.
 ///
-/// Others may write where backend servers write. Such an entry names no backend server to use, and
-/// must not keep an entry from those that can be read.
+/// Other programs may write under the same prefix. Such an entry adds no backend server, and must
+/// not prevent the use of those that can be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnreadableBackend {
-    /// The name under which it stands.
+    /// Name of the entry.
     pub id: String,
-    /// What is wrong.
+    /// Description of the fault.
     pub fault: String,
 }
 
-/// One change in the store.
+/// A change in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreChange {
     /// The operators wrote a configuration.
     Catalog(Box<Catalog>),
     /// A backend server wrote its entry.
     Backend(BackendServer),
-    /// A backend server's entry is gone; holds the incarnation.
+    /// The entry of a backend server was removed; contains the name of the incarnation.
     BackendGone(String),
-    /// A backend server's entry was overwritten by something that could not be understood.
+    /// The entry of a backend server was overwritten by something that cannot be decoded.
     BackendUnreadable(UnreadableBackend),
-    /// A value could not be understood.
+    /// A value could not be decoded.
     Unreadable {
-        /// Its key.
+        /// Key of the value.
         key: String,
-        /// What is wrong.
+        /// Description of the fault.
         fault: String,
     },
 }
 
-/// Changes since a revision.
+/// Changes after a revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoreWatch {
-    /// In the order in which they were made.
+    /// The changes in the order in which they were made.
     pub changes: Vec<StoreChange>,
-    /// The revision from which to go on.
+    /// Revision from which the next watch continues.
     pub as_of: u64,
 }
 
-/// Why a call gave nothing.
+/// Error of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// The changes since that revision are no longer kept: read again in full.
-    #[error("the history is gone")]
+    /// The store no longer keeps the changes since the requested revision; everything has to be
+    /// read again.
+    #[error("the changes since the requested revision are no longer kept")]
     HistoryGone,
-    /// The store turned the call away.
-    #[error("turned away with status {0}")]
+    /// The store refused the call with this status.
+    #[error("refused with status {0}")]
     Refused(u16),
-    /// No answer came, or the connection broke.
+    /// No answer arrived, or the connection broke.
     #[error("no answer: {0}")]
     Unanswered(String),
-    /// The answer could not be understood.
+    /// The answer could not be decoded.
     #[error("unreadable answer: {0}")]
     Unreadable(String),
 }
 
-/// Reads the platform's store. Every answer is linearizable.
+/// Client of the platform's store. All reads are linearizable.
 pub trait SharedStore {
-    /// Reads the newest configuration; `None` before the operators wrote one.
+    /// Reads the newest configuration; `None` if the operators have not written one yet.
     fn read_catalog(&self) -> StoreFuture<'_, StoreRead<Option<Catalog>>>;
 
     /// Waits up to `wait_ms` for configurations written after revision `after`.
--- a/crates/direct/src/store_watch.rs
+++ b/crates/direct/src/store_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the store: the operators' configuration and the list of backend servers.
+//! Watches the store for the operators' configuration and the list of backend servers.
 
 use crate::clock::boot_now;
 use crate::decision_log::DecisionLog;
@@ -10,67 +10,71 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time for which a watch of the configuration waits.
+/// Time for which one watch call for the configuration waits.
 ///
-/// A watch that returns confirms the configuration as of the moment it was sent, so the belief is at
-/// most twice this old while the store answers. One call a second and entry.
+/// A call that returns confirms the configuration as of the moment at which it was sent, so the
+/// confirmation is at most twice this old while the store answers. Each entry makes one call per
+/// second.
 pub(crate) const CATALOG_WAIT_MS: u64 = 1_000;
 
-/// Time for which a watch of the backend servers waits.
+/// Time for which one watch call for the backend servers waits.
 ///
-/// A connection to the store may go silent for good; the watch then ends a little after this, in
-/// time for a leaving backend server to be heard of.
+/// A connection to the store may go dead unnoticed. The call then ends shortly after this time,
+/// early enough to learn of a backend server that is leaving.
 const BACKENDS_WAIT_MS: u64 = 2_500;
 
-/// Pause after a watch that brought changes of backend servers, so that what changes in a row is read
-/// together. A fleet's start or a release changes a hundred of them within seconds; each entry made a call
-/// for each. A leaving backend server serves on for seconds, so a fifth of one is no loss.
+/// Pause after a watch call that returned changes of backend servers, so that successive changes
+/// are read together. The start of a fleet or a release changes a hundred of them within seconds,
+/// and each entry would make a call for each. A leaving backend server continues to serve for
+/// seconds, so the delay does no harm.
 const CHANGES_PAUSE_MS: u64 = 200;
 
-/// Shortest and longest pause after a failed call for the configuration, in milliseconds, drawn at random so
-/// that all entries do not come back to the store at the same moment. Keys can be judged again as soon as it is
-/// heard.
+/// Pause after a failed call for the configuration, in milliseconds. It is random so that the
+/// entries do not all call the store again at the same moment, and short because API keys can be
+/// checked again only when the configuration is known to be current.
 const CATALOG_PAUSE_MS: Range<u64> = 120..360;
 
-/// The same for the backend servers, whose list holds on while the store is away. A store that is down has
-/// twice the calls to refuse where both are as short.
+/// The same for the backend servers, whose list remains usable while the store is down. With the
+/// short pause for both, a store that is down would have twice as many calls to refuse.
 const BACKENDS_PAUSE_MS: Range<u64> = 500..1_000;
 
-/// Failed calls in a row after which the store counts as lost.
+/// Number of consecutive failed calls after which the store counts as lost.
 const FAILURES_UNTIL_LOST: u32 = 2;
 
-/// Unreadable entries of which it is remembered that they were said.
-const MOST_UNREADABLE_SAID: usize = 64;
+/// Maximum number of unreadable entries that are remembered as logged.
+const MAX_LOGGED_UNREADABLE: usize = 64;
 
-/// What a follower knows of the store's state.
+/// Availability of the store, as one of the watches observes it.
 #[derive(Debug, Default)]
-struct Contact {
+struct StoreContact {
     failures_in_row: u32,
     returned_at: Option<BootMs>,
 }
 
-impl Contact {
-    fn note_answer(&mut self, log: &DecisionLog, what: &str) {
+impl StoreContact {
+    /// Records an answer of the store, and logs if the store was lost before.
+    fn note_answer(&mut self, log: &DecisionLog, source: &str) {
         if self.failures_in_row >= FAILURES_UNTIL_LOST {
             self.returned_at = Some(boot_now());
-            log.note(DecisionLog::fields("store-regained").with("reading", what));
+            log.note(DecisionLog::fields("store-regained").with("reading", source));
         }
         self.failures_in_row = 0;
     }
 
-    fn note_failure(&mut self, log: &DecisionLog, what: &str, error: &StoreError) {
+    /// Records a failed call, and logs if the store counts as lost from now on.
+    fn note_failure(&mut self, log: &DecisionLog, source: &str, error: &StoreError) {
         self.failures_in_row = self.failures_in_row.saturating_add(1);
         metrics::counter!("hickorycross_store_failures_total").increment(1);
         if self.failures_in_row == FAILURES_UNTIL_LOST {
-            let line = DecisionLog::fields("store-lost").with("reading", what);
+            let line = DecisionLog::fields("store-lost").with("reading", source);
             log.note(line.with("error", error));
         }
     }
 }
 
-/// Follows the configuration for ever.
+/// Watches the configuration continuously.
 pub(crate) async fn watch_catalog(state: Rc<EntryState>, store: Rc<dyn SharedStore>) {
-    let mut contact = Contact::default();
+    let mut contact = StoreContact::default();
     loop {
         let Err(error) = watch_catalog_once(&state, &*store, &mut contact).await;
         contact.note_failure(&state.log, "configuration", &error);
@@ -78,16 +82,17 @@
     }
 }
 
+/// Reads the configuration and watches it until a call fails.
 async fn watch_catalog_once(
     state: &EntryState,
     store: &dyn SharedStore,
-    contact: &mut Contact,
+    contact: &mut StoreContact,
 ) -> Result<std::convert::Infallible, StoreError> {
     let sent_at = boot_now();
     let read = store.read_catalog().await?;
     contact.note_answer(&state.log, "configuration");
     if let Some(catalog) = read.value {
-        offer(state, catalog, sent_at, "store");
+        adopt_catalog(state, catalog, sent_at, "store");
     }
     let mut after = read.as_of;
     loop {
@@ -102,15 +107,20 @@
         }
         for change in watch.changes {
             match change {
-                StoreChange::Catalog(catalog) => offer(state, *catalog, sent_at, "store"),
-                change => note_unreadable(state, &change),
+                StoreChange::Catalog(catalog) => adopt_catalog(state, *catalog, sent_at, "store"),
+                change => log_unreadable(state, &change),
             }
         }
     }
 }
 
-/// Takes over a catalog, confirmed at `confirmed_at`, and says so.
-pub(crate) fn offer(state: &EntryState, catalog: Catalog, confirmed_at: BootMs, source: &str) {
+/// Offers a configuration that was current at `confirmed_at` to the entry, and logs the outcome.
+pub(crate) fn adopt_catalog(
+    state: &EntryState,
+    catalog: Catalog,
+    confirmed_at: BootMs,
+    source: &str,
+) {
     let version = catalog.version;
     let routes = catalog.routes.len();
     let adoption = state.catalog.borrow_mut().offer(catalog);
@@ -127,7 +137,8 @@
     }
 }
 
-fn note_unreadable(state: &EntryState, change: &StoreChange) {
+/// Logs and counts a value that could not be decoded.
+fn log_unreadable(state: &EntryState, change: &StoreChange) {
     if let StoreChange::Unreadable { key, fault } = change {
         metrics::counter!("hickorycross_store_unreadable_total").increment(1);
         let line = DecisionLog::fields("store-value-refused").with("key", key);
@@ -135,9 +146,9 @@
     }
 }
 
-/// Follows the list of backend servers for ever.
+/// Watches the list of backend servers continuously.
 pub(crate) async fn watch_backends(state: Rc<EntryState>, store: Rc<dyn SharedStore>) {
-    let mut contact = Contact::default();
+    let mut contact = StoreContact::default();
     loop {
         let Err(error) = watch_backends_once(&state, &*store, &mut contact).await;
         contact.note_failure(&state.log, "backend-servers", &error);
@@ -145,17 +156,19 @@
     }
 }
 
+/// Reads the list of backend servers and watches it until a call fails.
 async fn watch_backends_once(
     state: &EntryState,
     store: &dyn SharedStore,
-    contact: &mut Contact,
+    contact: &mut StoreContact,
 ) -> Result<std::convert::Infallible, StoreError> {
     let read = store.read_backends().await?;
     contact.note_answer(&state.log, "backend-servers");
     let now = boot_now();
     let BackendList { servers, unreadable } = read.value;
     let listed = servers.len();
-    // What stands under a name that cannot be read does not say that the backend server is gone.
+    // An entry that cannot be decoded does not mean that the backend server is gone, so the last
+    // known one is kept.
     let kept: Vec<BackendServer> =
         unreadable.iter().filter_map(|it| state.backends.borrow().server(&it.id)).collect();
     let servers = servers.into_iter().chain(kept).collect();
@@ -165,7 +178,7 @@
     }
     state.backends_as_of.set(read.as_of);
     for id in gone {
-        note_gone(state, &id, read.as_of);
+        log_gone(state, &id, read.as_of);
     }
     let line = DecisionLog::fields("backend-servers-read").with("listed", listed);
     state.log.note(line.with("as_of", read.as_of));
@@ -179,7 +192,7 @@
             apply_backend_change(state, change, contact.returned_at, after);
         }
         for id in state.backends.borrow_mut().expire(boot_now()) {
-            note_gone(state, &id, after);
+            log_gone(state, &id, after);
         }
         if !watch.changes.is_empty() {
             tokio::time::sleep(Duration::from_millis(CHANGES_PAUSE_MS)).await;
@@ -187,6 +200,7 @@
     }
 }
 
+/// Applies a change in the store to the table of backend servers.
 fn apply_backend_change(
     state: &EntryState,
     change: &StoreChange,
@@ -206,35 +220,36 @@
         }
         StoreChange::BackendGone(id) => {
             if state.backends.borrow_mut().lapse(id, boot_now(), returned_at) {
-                note_gone(state, id, as_of);
+                log_gone(state, id, as_of);
             }
         }
         StoreChange::BackendUnreadable(entry) => note_unreadable_backend(state, entry),
-        change => note_unreadable(state, change),
+        change => log_unreadable(state, change),
     }
 }
 
-/// Takes note of an entry that cannot be read, and says so once for each fault.
+/// Records an entry that cannot be decoded, and logs it once per fault.
 fn note_unreadable_backend(state: &EntryState, entry: &UnreadableBackend) {
     let changed = state.backends.borrow_mut().note_unreadable(&entry.id);
-    let mut said = state.unreadable_backends.borrow_mut();
-    if !changed && said.get(&entry.id) == Some(&entry.fault) {
+    let mut logged = state.unreadable_backends.borrow_mut();
+    if !changed && logged.get(&entry.id) == Some(&entry.fault) {
         return;
     }
-    if said.len() >= MOST_UNREADABLE_SAID {
-        said.shift_remove_index(0);
+    if logged.len() >= MAX_LOGGED_UNREADABLE {
+        logged.shift_remove_index(0);
     }
-    said.insert(entry.id.clone(), entry.fault.clone());
+    logged.insert(entry.id.clone(), entry.fault.clone());
     metrics::counter!("hickorycross_store_unreadable_total").increment(1);
     let line = DecisionLog::fields("backend-server").with("incarnation", &entry.id);
     state.log.note(line.with("fault", &entry.fault).with("outcome", "not-readable"));
 }
 
-fn note_gone(state: &EntryState, id: &str, as_of: u64) {
+fn log_gone(state: &EntryState, id: &str, as_of: u64) {
     let line = DecisionLog::fields("backend-server").with("incarnation", id);
     state.log.note(line.with("as_of", as_of).with("outcome", "gone"));
 }
 
+/// Waits before the next attempt, except where everything merely has to be read again.
 async fn pause_after(state: &EntryState, error: &StoreError, pause_ms: Range<u64>) {
     if *error == StoreError::HistoryGone {
         return;
