--- a/crates/direct/src/agent/execute.rs
+++ b/crates/direct/src/agent/execute.rs
@@ -13,8 +13,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Maximum number of attempts at one order. With half of all answers lost, the probability that none
-/// of these arrives is one in a million; the leader repeats the order after that.
+/// Maximum number of attempts at one order. With half of all answers lost, the probability that
+/// none of these arrives is one in a million; the leader repeats the order after that.
 const MAX_SENDS: u32 = 20;
 
 /// Interval at which a rank on the same instance is checked for the effect of an order.
@@ -243,8 +243,8 @@
 /// Sends an order repeatedly until the first answer to any of the sends arrives.
 ///
 /// Earlier sends are not cancelled: the link of a small instance may be saturated for tens of
-/// milliseconds, and their answers are then late but not lost. Cancelling them each time might never
-/// get an answer, while the group is stalled.
+/// milliseconds, and their answers are then late but not lost. If they were cancelled each time, no
+/// answer might ever arrive, and the group stalls meanwhile.
 async fn first_answer(
     target: &dyn RankClient,
     order: &EngineOrder,
@@ -272,7 +272,7 @@
     }
 }
 
-/// Returns whether a rank accepts the order at once and completes it later, which its statuses show.
+/// Returns whether a rank accepts the order at once and completes it later, as its statuses show.
 const fn completes_later(kind: &OrderKind) -> bool {
     matches!(kind, OrderKind::Prepare { .. })
 }
--- a/crates/direct/src/agent/notify_entries.rs
+++ b/crates/direct/src/agent/notify_entries.rs
@@ -1,7 +1,7 @@
 //! Reports conditions of backend servers to the entries that these cannot detect soon enough
 //! themselves.
 //!
-//! - The rank beside this agent is slow. A group advances at the speed of its slowest rank, so
+//! - The rank of this agent is slow. A group advances at the speed of its slowest rank, so
 //!   every pass gets shorter when entries send no new requests there.
 //! - Another agent does not answer, reported while this agent leads. See [`SilenceDetector`].
 
