--- a/crates/direct/src/forward/active_request.rs
+++ b/crates/direct/src/forward/active_request.rs
@@ -6,7 +6,7 @@
 use super::stream;
 use crate::callers::{AnswerBody, CallerRequest, Refusal, full_body};
 use crate::clock::boot_now;
-use crate::spread::tell_quiet;
+use crate::gossip::gossip_quiet_rank;
 use crate::state::EntryState;
 use bytes::Bytes;
 use hickorycross_core::Verdict;
@@ -328,7 +328,7 @@
         drop(backends);
         self.log_attempt_end(&server.id, end, paused_until.is_some());
         if let Some(report) = quiet {
-            tell_quiet(&self.state, report, "quiet-here");
+            gossip_quiet_rank(&self.state, report, "quiet-here");
         }
         match end {
             AttemptEnd::TimedOut => self.note_not_begun_stream(),
--- a/crates/direct/src/forward/crash.rs
+++ b/crates/direct/src/forward/crash.rs
@@ -10,7 +10,7 @@
 use super::active_request::ActiveRequest;
 use crate::callers::Refusal;
 use crate::clock::boot_now;
-use crate::spread::{SharedWord, note_request_word};
+use crate::gossip::{GossipReport, log_request_report};
 use crate::state::EntryState;
 use hickorycross_core::Verdict;
 use hickorycross_core::direct::{
@@ -120,8 +120,8 @@
         return;
     }
     metrics::counter!("hickorycross_backend_servers_ended_under_requests_total").increment(1);
-    note_request_word(state, report, "ended-here");
-    state.outbox.add(SharedWord::Request(report), now);
+    log_request_report(state, report, "ended-here");
+    state.outbox.add(GossipReport::Request(report), now);
 }
 
 /// Records that a backend server answered a request, and tells other entries if the end of a
@@ -130,7 +130,7 @@
     let now = boot_now();
     if state.crashes.borrow_mut().note_answered(digest, now) {
         let report = RequestReport { digest, seen: RequestObservation::Answered, age_ms: 0 };
-        note_request_word(state, report, "answered-here");
-        state.outbox.add(SharedWord::Request(report), now);
+        log_request_report(state, report, "answered-here");
+        state.outbox.add(GossipReport::Request(report), now);
     }
 }
--- a/crates/direct/src/forward/limit.rs
+++ b/crates/direct/src/forward/limit.rs
@@ -6,8 +6,8 @@
 use super::active_request::ActiveRequest;
 use crate::clock::boot_now;
 use crate::decision_log::DecisionLog;
+use crate::gossip::{GossipReport, log_limit_report};
 use crate::limit_share;
-use crate::spread::{SharedWord, note_limit_word};
 use crate::state::EntryState;
 use hickorycross_core::direct::{BackendServer, IncarnationDigest, LimitReport};
 use http::HeaderMap;
@@ -25,8 +25,8 @@
     let report = LimitReport { incarnation, millirequests_per_s, age_ms: 0 };
     let now = boot_now();
     if state.limits.borrow_mut().note(report, now) {
-        note_limit_word(state, report, Some(&server.id));
-        state.outbox.add(SharedWord::Limit(report), now);
+        log_limit_report(state, report, Some(&server.id));
+        state.outbox.add(GossipReport::Limit(report), now);
     }
 }
 
@@ -67,7 +67,7 @@
             } else if !permits.has_permit(report.incarnation, now)
                 && let Some(wanted) = permits.note_denied(report.incarnation, now)
             {
-                let asking = limit_share::ask(Rc::clone(&self.state), report, wanted);
+                let asking = limit_share::request_permits(Rc::clone(&self.state), report, wanted);
                 tokio::task::spawn_local(asking);
             }
         }
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -5,7 +5,7 @@
 //!   servers. The decision logic is in `hickorycross_core::direct`.
 //! - [`run_agent`] runs an agent beside a backend server that is a rank of a group. The agents of a
 //!   group make sure that all ranks use the same expert map in each pass.
-//! - [`SharedStore`] and [`RankEngine`] are the interfaces that a platform implements: the first
+//! - [`SharedStore`] and [`RankClient`] are the interfaces that a platform implements: the first
 //!   provides the operators' configuration and the list of backend servers, the second controls a
 //!   rank and reads its state. [`WireNames`] holds the names of header fields and paths that the
 //!   platform uses.
@@ -17,22 +17,22 @@
 mod decision_log;
 mod entry;
 mod exchange;
-mod follow;
 mod forward;
+mod gossip;
 mod limit_share;
 mod operators;
 mod peer_call;
 mod process;
 mod reload;
 mod settings;
-mod spread;
 mod state;
 mod store;
+mod store_watch;
 mod wire_names;
 
 pub use agent::{
-    ExpertCounts, ExpertLists, OrderReply, RankEngine, RankEngines, RankError, RankFuture,
-    RankReport, RankSeat, run_agent,
+    ExpertCounts, GroupMembership, HeldExperts, OrderReply, RankClient, RankClients, RankError,
+    RankFuture, RankReport, run_agent,
 };
 pub use clock::{boot_now, wall_ms};
 pub use decision_log::{DecisionLog, Fields};
--- a/crates/direct/src/state.rs
+++ b/crates/direct/src/state.rs
@@ -2,12 +2,12 @@
 
 use crate::clock::boot_now;
 use crate::decision_log::DecisionLog;
-use crate::follow::CATALOG_WAIT_MS;
 use crate::forward::{Pool, SuspectedCrashes};
+use crate::gossip::{GossipReport, Outbox};
 use crate::limit_share::SilentEntries;
 use crate::peer_call;
 use crate::settings::ProcessSettings;
-use crate::spread::{Outbox, SharedWord};
+use crate::store_watch::CATALOG_WAIT_MS;
 use crate::wire_names::WireNames;
 use hickorycross_core::direct::{
     Admission, AdmissionSettings, BackendLimits, BackendTable, BootMs, CatalogState, CrashTable,
@@ -222,12 +222,12 @@
 
     /// Returns all reports of this entry if the peer's `checksum` differs from its own, or none if
     /// the peer sent no checksum.
-    pub(crate) fn reports_for(&self, checksum: Option<u64>, now: BootMs) -> Vec<SharedWord> {
+    pub(crate) fn reports_for(&self, checksum: Option<u64>, now: BootMs) -> Vec<GossipReport> {
         if checksum.is_none_or(|checksum| checksum == self.reports_checksum()) {
             return Vec::new();
         }
-        let requests = self.crashes.borrow().reports(now).into_iter().map(SharedWord::Request);
-        let limits = self.limits.borrow().reports(now).into_iter().map(SharedWord::Limit);
+        let requests = self.crashes.borrow().reports(now).into_iter().map(GossipReport::Request);
+        let limits = self.limits.borrow().reports(now).into_iter().map(GossipReport::Limit);
         requests.chain(limits).collect()
     }
 
