--- a/crates/core/src/entry/admit.rs
+++ b/crates/core/src/entry/admit.rs
@@ -88,7 +88,7 @@
         let Some(team) = document.team_by_key(&arrival.key_hash) else {
             return Err(Denied::for_good(RefusalCode::UnknownKey, "the API key is unknown"));
         };
-        let route = find_route(&document, &arrival.wanted)
+        let route = find_route(&document, &arrival.target)
             .map_err(|code| Denied::for_good(code, "no route serves this"))?;
         let deadline = deadline(now, route, arrival.deadline);
         if self.mechanisms.deadline_check && deadline.is_past(now) {
--- a/crates/core/src/entry/border.rs
+++ b/crates/core/src/entry/border.rs
@@ -14,7 +14,7 @@
 
 /// What a caller wants to reach.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wanted {
+pub enum RequestTarget {
     /// A model by the name that callers use.
     Model(String),
     /// A plain service by path.
@@ -29,7 +29,7 @@
     /// Hash of the API key.
     pub key_hash: KeyHash,
     /// What it wants to reach.
-    pub wanted: Wanted,
+    pub target: RequestTarget,
     /// Set when the caller marked it as non-idempotent.
     pub non_idempotent: bool,
     /// The caller's idempotency key.
@@ -158,7 +158,7 @@
         message: ToAgent,
     },
     /// Send status and headers to the caller.
-    Begin {
+    Head {
         /// The request.
         request: RequestId,
         /// Status and headers.
@@ -176,7 +176,7 @@
         /// The request.
         request: RequestId,
     },
-    /// End the request without a whole answer. After [`EntryAction::Begin`] the HTTP side must
+    /// End the request without a whole answer. After [`EntryAction::Head`] the HTTP side must
     /// break the connection so that the caller cannot take the answer for whole.
     Refuse {
         /// The request.
--- a/crates/core/src/entry/catalog.rs
+++ b/crates/core/src/entry/catalog.rs
@@ -1,6 +1,6 @@
 //! Looking up what a caller wants in the document.
 
-use crate::entry::border::{Arrival, RefusalCode, Wanted};
+use crate::entry::border::{Arrival, RefusalCode, RequestTarget};
 use crate::entry::constants::PREFIX_BYTES;
 use hickorycross_config::{Document, Route, Target};
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
@@ -12,11 +12,13 @@
 /// The code of the refusal when no route matches.
 pub(super) fn find_route<'a>(
     document: &'a Document,
-    wanted: &Wanted,
+    target: &RequestTarget,
 ) -> Result<&'a Route, RefusalCode> {
-    match wanted {
-        Wanted::Model(model) => model_route(document, model).ok_or(RefusalCode::UnknownModel),
-        Wanted::Path(path) => service_route(document, path).ok_or(RefusalCode::UnknownPath),
+    match target {
+        RequestTarget::Model(model) => {
+            model_route(document, model).ok_or(RefusalCode::UnknownModel)
+        }
+        RequestTarget::Path(path) => service_route(document, path).ok_or(RefusalCode::UnknownPath),
     }
 }
 
@@ -51,11 +53,11 @@
 
 /// Digest of the beginning of a prompt, for affinity with a prefix cache. It is a hint.
 pub(super) fn prefix_digest(arrival: &Arrival) -> Option<u64> {
-    match arrival.wanted {
-        Wanted::Model(_) => {
+    match arrival.target {
+        RequestTarget::Model(_) => {
             let length = arrival.body.len().min(PREFIX_BYTES);
             Some(xxh3_64(&arrival.body[..length]))
         }
-        Wanted::Path(_) => None,
+        RequestTarget::Path(_) => None,
     }
 }
--- a/crates/core/src/entry/fleet.rs
+++ b/crates/core/src/entry/fleet.rs
@@ -21,9 +21,9 @@
         self.backends.retain(|id, _| document.backend(id.as_str()).is_some());
         for server in &document.backend_servers {
             let region = region_of(&document, server);
-            let make_health = &self.policies.health;
+            let new_health_policy = &self.policies.health;
             let row = self.backends.entry(server.id.clone());
-            row.or_insert_with(|| Backend::new(server, make_health())).update(server, region);
+            row.or_insert_with(|| Backend::new(server, new_health_policy())).update(server, region);
         }
         self.stamp = stamp;
         turn.stamp = stamp;
--- a/crates/core/src/entry/mod.rs
+++ b/crates/core/src/entry/mod.rs
@@ -30,8 +30,8 @@
 mod turn;
 
 pub use self::core::EntryCore;
-pub use border::{Arrival, EntryAction, EntryEvent, Refusal, RefusalCode, Wanted};
+pub use border::{Arrival, EntryAction, EntryEvent, Refusal, RefusalCode, RequestTarget};
 pub use counters::EntryCounters;
 pub use mechanisms::Mechanisms;
-pub use setup::{EntryIdentity, EntryPolicies, MakeHealth};
+pub use setup::{EntryIdentity, EntryPolicies, HealthPolicyFactory};
 pub use snapshot::{BackendView, EntrySnapshot, LinkUsage, LinkView, StandingView};
--- a/crates/core/src/entry/setup.rs
+++ b/crates/core/src/entry/setup.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Tries of a request under the baseline policies.
-const PLAIN_TRIES: u16 = 3;
+const BASELINE_ATTEMPTS: u16 = 3;
 
 /// Who an entry is.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 }
 
 /// Makes the health policy of one backend server.
-pub type MakeHealth = Box<dyn Fn() -> Box<dyn HealthPolicy> + Send>;
+pub type HealthPolicyFactory = Box<dyn Fn() -> Box<dyn HealthPolicy> + Send>;
 
 /// The policies that an entry consults.
 pub struct EntryPolicies {
@@ -32,17 +32,17 @@
     /// Holds the budget of further tries.
     pub retries: Box<dyn RetryBudget>,
     /// Makes the health policy of each backend server.
-    pub health: MakeHealth,
+    pub health: HealthPolicyFactory,
 }
 
 impl EntryPolicies {
     /// The baseline policies.
     #[must_use]
-    pub fn plain() -> Self {
+    pub fn baseline() -> Self {
         Self {
             routing: Box::new(LeastOutstanding::default()),
             limits: Box::new(Unlimited),
-            retries: Box::new(FixedBudget::without_pause(PLAIN_TRIES)),
+            retries: Box::new(FixedBudget::without_pause(BASELINE_ATTEMPTS)),
             health: Box::new(|| Box::<ReportedHealth>::default()),
         }
     }
--- a/crates/core/src/entry/stream.rs
+++ b/crates/core/src/entry/stream.rs
@@ -56,7 +56,7 @@
             self.interrupt(turn, request, "another answer had begun");
             return false;
         }
-        turn.push(EntryAction::Begin { request, head });
+        turn.push(EntryAction::Head { request, head });
         true
     }
 
--- a/crates/core/tests/entry_random.rs
+++ b/crates/core/tests/entry_random.rs
@@ -11,7 +11,7 @@
 use hickorycross_core::audit::Change;
 use hickorycross_core::entry::{
     Arrival, EntryAction, EntryCore, EntryCounters, EntryEvent, EntryIdentity, EntryPolicies,
-    Mechanisms, Wanted,
+    Mechanisms, RequestTarget,
 };
 use hickorycross_core::message::{RequestHead, ToAgent, ToEntry};
 use hickorycross_core::{
@@ -79,7 +79,7 @@
             incarnation: Incarnation(1),
             failure_domain: FailureDomainId::new("fd-a"),
         };
-        let core = EntryCore::new(identity, EntryPolicies::plain(), seed);
+        let core = EntryCore::new(identity, EntryPolicies::baseline(), seed);
         let mut world = Self {
             core: core.with_mechanisms(mechanisms),
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -310,7 +310,7 @@
         let arrival = Arrival {
             request,
             key_hash: hash_api_key("secret"),
-            wanted: Wanted::Path(path.to_owned()),
+            target: RequestTarget::Path(path.to_owned()),
             non_idempotent: false,
             idempotency_key: keyed.then(|| sequence.to_string()),
             deadline,
--- a/crates/core/tests/entry_rules.rs
+++ b/crates/core/tests/entry_rules.rs
@@ -59,12 +59,13 @@
 }
 
 fn limited() -> Rig {
-    let policies = EntryPolicies { limits: Box::<SpyLimits>::default(), ..EntryPolicies::plain() };
+    let policies =
+        EntryPolicies { limits: Box::<SpyLimits>::default(), ..EntryPolicies::baseline() };
     Rig::with(Mechanisms::ALL, policies, document(), &["s-1"])
 }
 
 fn bare() -> Rig {
-    Rig::bare(Mechanisms::ALL, EntryPolicies::plain())
+    Rig::bare(Mechanisms::ALL, EntryPolicies::baseline())
 }
 
 fn deserted() -> Rig {
@@ -366,7 +367,7 @@
 #[gtest]
 fn demand_is_reported_and_totals_are_learnt() {
     let spy = SpyLimits { open: true, ..SpyLimits::default() };
-    let policies = EntryPolicies { limits: Box::new(spy.clone()), ..EntryPolicies::plain() };
+    let policies = EntryPolicies { limits: Box::new(spy.clone()), ..EntryPolicies::baseline() };
     let mut rig = Rig::with(Mechanisms::ALL, policies, document(), &["s-1", "s-2"]);
     rig.wait(STEP_MS);
     let link = rig.last_sent(|message| matches!(message, ToAgent::Demand(_)));
@@ -445,8 +446,8 @@
     let failure_domain = document.failure_domains[entry as usize % DOMAINS].id.clone();
     let incarnation = Incarnation(entry * 0x9e37_79b9 + 1);
     let identity = EntryIdentity { incarnation, failure_domain };
-    let mut rig = Rig::bare(Mechanisms::ALL, EntryPolicies::plain());
-    rig.core = EntryCore::new(identity, EntryPolicies::plain(), 1);
+    let mut rig = Rig::bare(Mechanisms::ALL, EntryPolicies::baseline());
+    rig.core = EntryCore::new(identity, EntryPolicies::baseline(), 1);
     rig.adopt(document.as_ref().clone());
     rig.event(EntryEvent::Instances(list.to_vec()));
     for _ in 0..9 {
--- a/crates/core/tests/entry_support/mod.rs
+++ b/crates/core/tests/entry_support/mod.rs
@@ -9,7 +9,7 @@
 use hickorycross_core::audit::Change;
 use hickorycross_core::entry::{
     Arrival, EntryAction, EntryCore, EntryEvent, EntryIdentity, EntryPolicies, Mechanisms, Refusal,
-    RefusalCode, Wanted,
+    RefusalCode, RequestTarget,
 };
 use hickorycross_core::message::{
     AgentState, Load, RequestHead, ResponseHead, Submit, ToAgent, ToEntry,
@@ -93,7 +93,7 @@
             self.after_final += 1;
         }
         match action {
-            EntryAction::Begin { .. } => self.begun += 1,
+            EntryAction::Head { .. } => self.begun += 1,
             EntryAction::Chunk { bytes, .. } => self.bytes.extend_from_slice(bytes),
             EntryAction::Finish { .. } => self.finished = true,
             EntryAction::Refuse { refusal, .. } => self.refusals.push(refusal.clone()),
@@ -105,7 +105,7 @@
 /// The request that an action answers, if any.
 pub(crate) fn answered(action: &EntryAction) -> Option<RequestId> {
     match action {
-        EntryAction::Begin { request, .. }
+        EntryAction::Head { request, .. }
         | EntryAction::Chunk { request, .. }
         | EntryAction::Finish { request }
         | EntryAction::Refuse { request, .. } => Some(*request),
@@ -185,7 +185,7 @@
 
     /// An entry with the test document and some of its agents.
     pub(crate) fn of(mechanisms: Mechanisms, backend_servers: &[&str]) -> Self {
-        Self::with(mechanisms, EntryPolicies::plain(), document(), backend_servers)
+        Self::with(mechanisms, EntryPolicies::baseline(), document(), backend_servers)
     }
 
     pub(crate) fn with(
@@ -289,11 +289,13 @@
         let request = RequestId { entry: Incarnation(1), sequence: self.next_request };
         self.next_request += 1;
         let path = ask.path.to_owned();
-        let wanted = ask.model.map_or(Wanted::Path(path.clone()), |m| Wanted::Model(m.to_owned()));
+        let target = ask
+            .model
+            .map_or(RequestTarget::Path(path.clone()), |m| RequestTarget::Model(m.to_owned()));
         let arrival = Arrival {
             request,
             key_hash: hash_api_key(ask.api_key),
-            wanted,
+            target,
             non_idempotent: ask.non_idempotent,
             idempotency_key: ask.key.map(str::to_owned),
             deadline: ask.deadline_ms.map(|ms| UnixMs(START_MS + ms)),
--- a/crates/core/tests/whole_system/callers.rs
+++ b/crates/core/tests/whole_system/callers.rs
@@ -5,7 +5,7 @@
 use crate::world::{What, World};
 use bytes::Bytes;
 use hickorycross_config::hash_api_key;
-use hickorycross_core::entry::{Arrival, EntryEvent, Refusal, Wanted};
+use hickorycross_core::entry::{Arrival, EntryEvent, Refusal, RequestTarget};
 use hickorycross_core::message::RequestHead;
 use hickorycross_core::{Incarnation, RequestId, UnixMs, Verdict};
 use rand::RngExt;
@@ -156,14 +156,14 @@
 
     fn arrival(&self, entry: Incarnation, index: usize, operation: &Operation) -> Arrival {
         let path = operation.path.to_owned();
-        let wanted = match operation.model {
-            true => Wanted::Model("reviewer".to_owned()),
-            false => Wanted::Path(path.clone()),
+        let target = match operation.model {
+            true => RequestTarget::Model("reviewer".to_owned()),
+            false => RequestTarget::Path(path.clone()),
         };
         Arrival {
             request: RequestId { entry, sequence: self.next_request },
             key_hash: hash_api_key(operation.team),
-            wanted,
+            target,
             non_idempotent: !operation.idempotent,
             idempotency_key: operation.key.clone(),
             deadline: operation.deadline_ms.map(|span_ms| UnixMs(self.now_ms + span_ms)),
--- a/crates/core/tests/whole_system/observer.rs
+++ b/crates/core/tests/whole_system/observer.rs
@@ -201,7 +201,7 @@
         runs: &[Run],
     ) -> Option<Final> {
         let request = match &action {
-            EntryAction::Begin { request, .. }
+            EntryAction::Head { request, .. }
             | EntryAction::Chunk { request, .. }
             | EntryAction::Finish { request }
             | EntryAction::Refuse { request, .. } => *request,
@@ -217,7 +217,7 @@
         }
         let row = &mut self.requests[&request];
         match action {
-            EntryAction::Begin { head, .. } => {
+            EntryAction::Head { head, .. } => {
                 if row.status.replace(head.status).is_some() {
                     self.fault(now_ms, &format!("(b) request {request} began twice"));
                 }
--- a/crates/entry/src/callers/head.rs
+++ b/crates/entry/src/callers/head.rs
@@ -3,7 +3,7 @@
 use super::path::check_path;
 use crate::refusal::Rejected;
 use hickorycross_core::UnixMs;
-use hickorycross_core::entry::Wanted;
+use hickorycross_core::entry::RequestTarget;
 use hickorycross_core::message::Header;
 use rocket::Request;
 use serde::Deserialize;
@@ -82,15 +82,15 @@
 }
 
 /// Where a request leads.
-pub(super) fn wanted(path: &str, body: &[u8]) -> Result<Wanted, Rejected> {
+pub(super) fn wanted(path: &str, body: &[u8]) -> Result<RequestTarget, Rejected> {
     let path = without_query(path);
     if !path.starts_with(MODEL_API_PREFIX) {
-        return Ok(Wanted::Path(path.to_owned()));
+        return Ok(RequestTarget::Path(path.to_owned()));
     }
     let model: ModelBody = serde_json::from_slice(body).map_err(|error| {
         Rejected::bad_request(format!("the body is not a request for a model: {error}"))
     })?;
-    Ok(Wanted::Model(model.model))
+    Ok(RequestTarget::Model(model.model))
 }
 
 fn without_query(path: &str) -> &str {
--- a/crates/entry/src/callers/mod.rs
+++ b/crates/entry/src/callers/mod.rs
@@ -141,7 +141,7 @@
         let arrival = Arrival {
             request: id,
             key_hash: hash,
-            wanted: head::wanted(&head.path, &body)?,
+            target: head::wanted(&head.path, &body)?,
             non_idempotent: head.non_idempotent,
             idempotency_key: head.idempotency_key,
             deadline: head.deadline,
--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -125,7 +125,7 @@
                 self.log_submit(link, &message);
                 self.parts.links.send(link, Frame::ToAgent(message));
             }
-            EntryAction::Begin { request, head } => self.pass_on(request, Part::Begin(head)),
+            EntryAction::Head { request, head } => self.pass_on(request, Part::Begin(head)),
             EntryAction::Chunk { request, bytes } => self.pass_on(request, Part::Chunk(bytes)),
             EntryAction::Finish { request } => self.end(request, Part::Finish),
             EntryAction::Refuse { request, refusal } => self.end(request, Part::Refuse(refusal)),
--- a/crates/lab/src/capacity/entry.rs
+++ b/crates/lab/src/capacity/entry.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use hickorycross_config::{Digest, FailureDomainId, KeyHash, Stamp, hash_api_key};
 use hickorycross_core::entry::{
-    Arrival, EntryAction, EntryCore, EntryEvent, EntryIdentity, EntryPolicies, Wanted,
+    Arrival, EntryAction, EntryCore, EntryEvent, EntryIdentity, EntryPolicies, RequestTarget,
 };
 use hickorycross_core::health::{CircuitBreaker, HealthPolicy};
 use hickorycross_core::limits::SharedLimits;
@@ -132,7 +132,7 @@
         EntryEvent::Arrived(Box::new(Arrival {
             request: RequestId { entry: Incarnation(SEED), sequence },
             key_hash: self.keys[team],
-            wanted: Wanted::Model(FleetShape::model(group)),
+            target: RequestTarget::Model(FleetShape::model(group)),
             non_idempotent: false,
             idempotency_key: None,
             deadline: None,
