--- a/crates/core/src/entry/admit.rs
+++ b/crates/core/src/entry/admit.rs
@@ -1,11 +1,14 @@
-//! Arrival of a request: who sent it, where it goes, by when, and whether it may.
+//! Admission of arriving requests.
+//!
+//! A request is admitted if its API key belongs to a team, a route serves its target, its deadline
+//! lies ahead and the team is within its limit. Otherwise it is refused without having run.
 
-use crate::entry::border::{Arrival, EntryAction, Refusal, RefusalCode};
-use crate::entry::catalog::{content_digest, find_route, prefix_digest};
-use crate::entry::constants::{COME_BACK_MS, LINK_WAIT_MS};
+use crate::entry::constants::{LINK_WAIT_MS, RETRY_AFTER_MS};
 use crate::entry::core::EntryCore;
+use crate::entry::event_context::EventContext;
+use crate::entry::interface::{Arrival, EntryAction, Refusal, RefusalCode};
 use crate::entry::request::Request;
-use crate::entry::turn::Turn;
+use crate::entry::route_lookup::{content_digest, find_route, prefix_digest};
 use crate::ids::RequestId;
 use crate::limits::Admission;
 use crate::message::KeyDigest;
@@ -15,99 +18,112 @@
 use indexmap::IndexSet;
 
 /// Why a request was not admitted.
-struct Denied {
+struct AdmissionError {
     code: RefusalCode,
     retry_at: Option<UnixMs>,
     detail: &'static str,
 }
 
-impl Denied {
-    const fn for_good(code: RefusalCode, detail: &'static str) -> Self {
+impl AdmissionError {
+    const fn permanent(code: RefusalCode, detail: &'static str) -> Self {
         Self { code, retry_at: None, detail }
     }
 
-    const fn until(code: RefusalCode, retry_at: UnixMs, detail: &'static str) -> Self {
+    const fn temporary(code: RefusalCode, retry_at: UnixMs, detail: &'static str) -> Self {
         Self { code, retry_at: Some(retry_at), detail }
     }
 }
 
 impl EntryCore {
-    pub(super) fn arrive(&mut self, turn: &mut Turn<'_>, arrival: Arrival) {
+    pub(super) fn handle_arrival(&mut self, ctx: &mut EventContext<'_>, arrival: Arrival) {
         let request = arrival.request;
         self.counters.arrived += 1;
-        if let Err(violation) = self.ledger.arrive(request) {
-            return self.violated(turn, &violation);
+        if let Err(violation) = self.guard.record_arrival(request) {
+            return self.report_violation(ctx, &violation);
         }
-        match self.admit(turn.now, arrival) {
+        match self.admit(ctx.now, arrival) {
             Ok(row) => self.enqueue(request, row),
-            Err(denied) => self.deny(turn, request, &denied),
+            Err(error) => self.refuse_admission(ctx, request, &error),
         }
     }
 
     fn enqueue(&mut self, request: RequestId, row: Request) {
-        self.wake_by(row.deadline);
-        self.wake_by(row.link_wait);
+        self.schedule_wake(row.deadline);
+        self.schedule_wake(row.link_wait_until);
         self.requests.insert(request, row);
         self.waiting.insert(request);
         self.dispatch_due = true;
     }
 
-    fn deny(&mut self, turn: &mut Turn<'_>, request: RequestId, denied: &Denied) {
+    fn refuse_admission(
+        &mut self,
+        ctx: &mut EventContext<'_>,
+        request: RequestId,
+        error: &AdmissionError,
+    ) {
         let refusal = Refusal {
-            code: denied.code,
+            code: error.code,
             verdict: Verdict::NotRun,
-            retry_at: denied.retry_at,
-            detail: denied.detail.to_owned(),
+            retry_at: error.retry_at,
+            detail: error.detail.to_owned(),
         };
-        self.refuse(turn, request, refusal);
+        self.refuse(ctx, request, refusal);
     }
 
-    /// Gives the final answer of a request that was given up; the row must be gone already.
-    pub(super) fn refuse(&mut self, turn: &mut Turn<'_>, request: RequestId, refusal: Refusal) {
-        if let Err(violation) = self.ledger.give_up(request) {
-            return self.violated(turn, &violation);
+    /// Sends the final refusal of a request, which must no longer be in the request table.
+    pub(super) fn refuse(
+        &mut self,
+        ctx: &mut EventContext<'_>,
+        request: RequestId,
+        refusal: Refusal,
+    ) {
+        if let Err(violation) = self.guard.record_refusal(request) {
+            return self.report_violation(ctx, &violation);
         }
         match refusal.verdict {
             Verdict::NotRun => self.counters.refused_not_run += 1,
             Verdict::MayHaveRun => self.counters.refused_may_have_run += 1,
             Verdict::Ran => self.counters.refused_ran += 1,
         }
-        turn.push(EntryAction::Refuse { request, refusal });
+        ctx.push(EntryAction::Refuse { request, refusal });
     }
 
-    fn admit(&mut self, now: Now, arrival: Arrival) -> Result<Request, Denied> {
-        let come_back = now.after(COME_BACK_MS);
+    fn admit(&mut self, now: Now, arrival: Arrival) -> Result<Request, AdmissionError> {
+        let default_retry_at = now.after(RETRY_AFTER_MS);
         if self.draining {
             let detail = "this entry is about to stop";
-            return Err(Denied::until(RefusalCode::NotReady, come_back, detail));
+            return Err(AdmissionError::temporary(RefusalCode::NotReady, default_retry_at, detail));
         }
         let Some(document) = self.document.clone() else {
             let detail = "no configuration has been adopted yet";
-            return Err(Denied::until(RefusalCode::NotReady, come_back, detail));
+            return Err(AdmissionError::temporary(RefusalCode::NotReady, default_retry_at, detail));
         };
         let Some(team) = document.team_by_key(&arrival.key_hash) else {
-            return Err(Denied::for_good(RefusalCode::UnknownKey, "the API key is unknown"));
+            return Err(AdmissionError::permanent(
+                RefusalCode::UnknownKey,
+                "the API key is unknown",
+            ));
         };
         let route = find_route(&document, &arrival.target)
-            .map_err(|code| Denied::for_good(code, "no route serves this"))?;
+            .map_err(|code| AdmissionError::permanent(code, "no route serves this"))?;
         let deadline = deadline(now, route, arrival.deadline);
         if self.mechanisms.deadline_check && deadline.is_past(now) {
-            return Err(Denied::for_good(RefusalCode::DeadlinePassed, "it came too late"));
+            return Err(AdmissionError::permanent(RefusalCode::DeadlinePassed, "it came too late"));
         }
         if let Admission::Exceeded { retry_at } = self.policies.limits.admit(now, &team.id) {
             let detail = "the team's limit is used up";
-            return Err(Denied::until(RefusalCode::TeamLimit, retry_at, detail));
+            return Err(AdmissionError::temporary(RefusalCode::TeamLimit, retry_at, detail));
         }
         let rank = document.tier(team.tier.as_str()).map_or(u8::MAX, |tier: &Tier| tier.rank);
         Ok(make_request(now, arrival, team, rank, route, deadline))
     }
 }
 
-/// The caller's deadline within the route's bound, or the route's default.
-fn deadline(now: Now, route: &Route, asked: Option<UnixMs>) -> UnixMs {
+/// Returns the caller's deadline, or the route's default, capped at the route's maximum.
+fn deadline(now: Now, route: &Route, requested: Option<UnixMs>) -> UnixMs {
     let latest = now.after(route.max_deadline_ms.into());
     let default = now.after(route.default_deadline_ms.into());
-    asked.unwrap_or(default).min(latest)
+    requested.unwrap_or(default).min(latest)
 }
 
 fn make_request(
@@ -125,8 +141,8 @@
         route: route.id.clone(),
         idempotent: route.idempotent && !arrival.non_idempotent,
         key: arrival.idempotency_key.as_deref().map(|key| KeyDigest::of(&team.id, key)),
-        content: content_digest(&arrival),
-        prefix: prefix_digest(&arrival),
+        content_digest: content_digest(&arrival),
+        prefix_digest: prefix_digest(&arrival),
         deadline,
         head: arrival.head,
         body: arrival.body,
@@ -134,7 +150,7 @@
         tried: IndexSet::new(),
         verdict: Verdict::NotRun,
         not_before: now.unix_ms,
-        link_wait: now.after(LINK_WAIT_MS),
+        link_wait_until: now.after(LINK_WAIT_MS),
         attempt: None,
     }
 }
--- a/crates/core/src/entry/report.rs
+++ b/crates/core/src/entry/agent_reports.rs
@@ -1,32 +1,40 @@
-//! What agents report of themselves: signs of life, load, leaving, totals of team demand.
+//! Reports of agents about themselves: heartbeat acknowledgements, load, leaving, and totals of
+//! team demand.
 
 use crate::entry::core::EntryCore;
+use crate::entry::event_context::EventContext;
 use crate::entry::request::Progress;
-use crate::entry::turn::Turn;
 use crate::health::Signal;
 use crate::ids::{InstanceId, LinkId, RequestId};
 use crate::message::{AgentState, Load, TeamTotal};
 
 impl EntryCore {
-    pub(super) fn heartbeat_acknowledged(&mut self, turn: &mut Turn<'_>, link: LinkId, nonce: u64) {
+    pub(super) fn handle_heartbeat_ack(
+        &mut self,
+        ctx: &mut EventContext<'_>,
+        link: LinkId,
+        nonce: u64,
+    ) {
         let active = self.is_active(link);
         let Some(row) = self.links.get_mut(&link) else { return };
         let instance = row.instance.clone();
-        let Some(up) = row.up_mut() else { return };
-        let Some(pending) = up.pending.take_if(|pending| pending.nonce == nonce) else { return };
+        let Some(connected) = row.connected_mut() else { return };
+        let Some(pending) = connected.pending.take_if(|pending| pending.nonce == nonce) else {
+            return;
+        };
         let Some(peer) = self.peers.get_mut(&instance) else { return };
-        peer.round_trip.observe(turn.now, pending.sent);
+        peer.round_trip.observe(ctx.now, pending.sent);
         let requests: Vec<RequestId> = peer.requests.iter().copied().collect();
         if active {
             for request in requests {
-                self.in_touch_again(request);
+                self.cancel_recovery(request);
             }
         }
-        self.signal(turn, &instance, Signal::Acknowledged);
+        self.signal(ctx, &instance, Signal::Acknowledged);
     }
 
-    /// An accepted attempt is no longer out of touch: its agent answers on the link in use.
-    fn in_touch_again(&mut self, request: RequestId) {
+    /// Ends the recovery of an accepted attempt whose agent responds on the active link.
+    fn cancel_recovery(&mut self, request: RequestId) {
         if let Some(live) = self.attempt_mut(request)
             && live.progress == Progress::Accepted
         {
@@ -34,8 +42,13 @@
         }
     }
 
-    /// Keeps the latest report; a late one must not bring back an older state.
-    pub(super) fn learn_load(&mut self, turn: &mut Turn<'_>, instance: &InstanceId, load: Load) {
+    /// Records a load report, unless a later one was received before.
+    pub(super) fn record_load(
+        &mut self,
+        ctx: &mut EventContext<'_>,
+        instance: &InstanceId,
+        load: Load,
+    ) {
         let unseen = self.unacknowledged(instance);
         let Some(peer) = self.peers.get_mut(instance) else { return };
         if peer.load.as_ref().is_some_and(|held| held.sampled > load.sampled) {
@@ -43,18 +56,18 @@
         }
         let state = load.state;
         peer.load = Some(load);
-        peer.load_received = turn.now.unix_ms;
+        peer.load_received = ctx.now.unix_ms;
         peer.sent_since_report = unseen;
         if state == AgentState::Leaving {
-            self.learn_leaving(instance);
+            self.mark_agent_leaving(instance);
         }
-        self.learn_backend_down(turn, instance, state == AgentState::BackendDown);
+        self.record_backend_down(ctx, instance, state == AgentState::BackendDown);
     }
 
-    /// Passes on what an agent says of its backend server, when that changes.
-    pub(super) fn learn_backend_down(
+    /// Signals the health policy when an agent reports its backend server as down, or up again.
+    pub(super) fn record_backend_down(
         &mut self,
-        turn: &mut Turn<'_>,
+        ctx: &mut EventContext<'_>,
         instance: &InstanceId,
         down: bool,
     ) {
@@ -63,13 +76,14 @@
         let Some(backend) = self.backends.get_mut(&backend_server) else { return };
         let was_down = std::mem::replace(&mut backend.reported_down, down);
         if down && !was_down {
-            self.signal(turn, instance, Signal::BackendDown);
+            self.signal(ctx, instance, Signal::BackendDown);
         } else if was_down && !down {
-            self.signal(turn, instance, Signal::BackendUp);
+            self.signal(ctx, instance, Signal::BackendUp);
         }
     }
 
-    /// Attempts that a report that arrives now cannot contain.
+    /// Returns the number of attempts at an agent that it has not acknowledged, which a load report
+    /// received now does not include.
     fn unacknowledged(&self, instance: &InstanceId) -> u32 {
         let Some(peer) = self.peers.get(instance) else { return 0 };
         let attempts =
@@ -78,26 +92,27 @@
         u32::try_from(unseen).unwrap_or(u32::MAX)
     }
 
-    pub(super) fn learn_totals(
+    pub(super) fn record_team_totals(
         &mut self,
-        turn: &Turn<'_>,
+        ctx: &EventContext<'_>,
         instance: &InstanceId,
         totals: &[TeamTotal],
     ) {
         if let Some(peer) = self.peers.get(instance) {
-            self.policies.limits.receive_totals(turn.now, &peer.backend_server, totals);
+            self.policies.limits.receive_totals(ctx.now, &peer.backend_server, totals);
         }
     }
 
-    /// An agent knows first that it leaves; the instance list may say otherwise for a while.
-    pub(super) fn learn_leaving(&mut self, instance: &InstanceId) {
+    /// Stops sending new attempts to an agent that reported leaving. The instance list may name it
+    /// as live for a while longer.
+    pub(super) fn mark_agent_leaving(&mut self, instance: &InstanceId) {
         if !self.mechanisms.agent_leaving {
             return;
         }
         let Some(peer) = self.peers.get_mut(instance) else { return };
         if !peer.leaving {
             peer.leaving = true;
-            self.rebind();
+            self.rebind_backends();
         }
     }
 }
--- a/crates/core/src/entry/backend.rs
+++ b/crates/core/src/entry/backend.rs
@@ -1,23 +1,23 @@
-//! Rows of the backend server table.
+//! The entry's state of one backend server.
 
 use crate::health::{HealthPolicy, Signal, Standing};
 use crate::ids::InstanceId;
 use crate::time::Now;
 use hickorycross_config::{BackendServer, FailureDomainId, RegionId};
 
-/// One backend server of the document.
+/// A backend server of the document in force.
 pub(super) struct Backend {
     pub(super) failure_domain: FailureDomainId,
     pub(super) region: Option<RegionId>,
     pub(super) slots: u32,
     pub(super) health: Box<dyn HealthPolicy>,
-    /// Whether its circuit was open when last looked at.
+    /// Whether its circuit was open when last checked.
     pub(super) circuit_open: bool,
-    /// Whether its agent last said that the backend server does not answer.
+    /// Whether its agent last reported that the backend server does not respond.
     pub(super) reported_down: bool,
-    /// The instance that gets its new work.
+    /// The instance to which new attempts are sent, if any accepts them.
     pub(super) instance: Option<InstanceId>,
-    /// What the circuit opened for.
+    /// The latest signal of a failure, recorded as the reason when the circuit opens.
     pub(super) last_fault: Option<Signal>,
 }
 
@@ -35,14 +35,14 @@
         }
     }
 
-    /// Follows another document.
+    /// Takes over the settings of another document.
     pub(super) fn update(&mut self, server: &BackendServer, region: Option<RegionId>) {
         self.failure_domain = server.failure_domain.clone();
         self.region = region;
         self.slots = server.slots;
     }
 
-    /// Passes a signal to its health policy.
+    /// Passes a signal to the health policy.
     pub(super) fn signal(&mut self, now: Now, signal: Signal) {
         if !matches!(signal, Signal::Answered | Signal::Acknowledged | Signal::BackendUp) {
             self.last_fault = Some(signal);
@@ -50,7 +50,7 @@
         self.health.signal(now, signal);
     }
 
-    /// Whether its circuit is open now.
+    /// Returns whether the circuit is open.
     pub(super) fn is_open(&self, now: Now) -> bool {
         self.health.standing(now) == Standing::Open
     }
--- a/crates/core/src/entry/core.rs
+++ b/crates/core/src/entry/core.rs
@@ -1,15 +1,15 @@
-//! The tables of an entry and the order in which its systems run.
+//! State of the entry and dispatch of its events.
 
 use crate::audit::Change;
 use crate::entry::backend::Backend;
-use crate::entry::border::{EntryAction, EntryEvent};
 use crate::entry::counters::EntryCounters;
-use crate::entry::ledger::{Ledger, Violation};
+use crate::entry::event_context::EventContext;
+use crate::entry::guard::{OutcomeGuard, Violation};
+use crate::entry::interface::{EntryAction, EntryEvent};
 use crate::entry::mechanisms::Mechanisms;
 use crate::entry::peer::{Link, Peer};
 use crate::entry::request::Request;
 use crate::entry::setup::{EntryIdentity, EntryPolicies};
-use crate::entry::turn::Turn;
 use crate::ids::{InstanceId, LinkId, RequestId};
 use crate::message::TeamDemand;
 use crate::time::{Now, UnixMs};
@@ -19,11 +19,11 @@
 use rand_chacha::ChaCha8Rng;
 use std::sync::Arc;
 
-/// The decisions of one entry: tables of requests, peers, links and backend servers, and the
-/// systems that run over them at each event.
+/// Decision logic of one entry.
 ///
-/// Every request that arrives gets exactly one final answer: `Finish`, `Refuse`, or none if its
-/// caller goes away first.
+/// Events are handled synchronously and in order. Every request that arrives gets exactly one final
+/// response, [`EntryAction::Finish`] or [`EntryAction::Refuse`], or none if its caller disconnects
+/// first.
 #[derive(Debug)]
 pub struct EntryCore {
     pub(super) identity: EntryIdentity,
@@ -37,25 +37,27 @@
     pub(super) requests: IndexMap<RequestId, Request>,
     /// Requests without a live attempt.
     pub(super) waiting: IndexSet<RequestId>,
-    /// Subsets worked out since the last change of what is eligible.
+    /// Cached subset of each route, cleared whenever the eligible backend servers change.
     pub(super) subsets: IndexMap<RouteId, Vec<BackendServerId>>,
-    /// Demand reports whose agent has no link yet, latest only.
+    /// Latest demand report for each agent that has no link yet.
     pub(super) demands: IndexMap<BackendServerId, Vec<TeamDemand>>,
-    pub(super) ledger: Ledger,
+    pub(super) guard: OutcomeGuard,
     pub(super) counters: EntryCounters,
     pub(super) random: ChaCha8Rng,
     pub(super) next_link: u64,
     pub(super) next_nonce: u64,
-    /// When the timers are due next.
+    /// Time at which the timers run next.
     pub(super) wake: UnixMs,
-    /// Something happened that may let a waiting request go.
+    /// Set when a waiting request may have become ready to be sent.
     pub(super) dispatch_due: bool,
     pub(super) draining: bool,
     pub(super) drained: bool,
 }
 
 impl EntryCore {
-    /// Makes an entry that has adopted nothing yet; equal seeds and events give equal actions.
+    /// Creates an entry without a document or instance list.
+    ///
+    /// Equal seeds and equal events give equal actions.
     #[must_use]
     pub fn new(identity: EntryIdentity, policies: EntryPolicies, seed: u64) -> Self {
         Self {
@@ -71,7 +73,7 @@
             waiting: IndexSet::new(),
             subsets: IndexMap::new(),
             demands: IndexMap::new(),
-            ledger: Ledger::default(),
+            guard: OutcomeGuard::default(),
             counters: EntryCounters::default(),
             random: ChaCha8Rng::seed_from_u64(seed),
             next_link: 0,
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Turns mechanisms off to show which failure each prevents.
+    /// Replaces the set of enabled mechanisms, so that a test can show which failure each prevents.
     #[doc(hidden)]
     #[must_use]
     pub fn with_mechanisms(mut self, mechanisms: Mechanisms) -> Self {
@@ -91,82 +93,85 @@
         self
     }
 
-    /// What the entry has adopted.
+    /// Returns the stamp of the document in force, [`Stamp::NONE`] before the first one.
     #[must_use]
     pub fn stamp(&self) -> Stamp {
         self.stamp
     }
 
-    /// Counts since the start of the process.
+    /// Returns the counts since the start of the process.
     #[must_use]
     pub fn counters(&self) -> EntryCounters {
         self.counters
     }
 
-    /// When the next [`EntryEvent::Tick`] does something that is due. A program that ticks then,
-    /// besides several times a second, notices silence sooner.
+    /// Returns the time at which the next timer is due.
+    ///
+    /// A program that sends an [`EntryEvent::Tick`] at this time, in addition to the periodic ones,
+    /// detects silent links sooner.
     #[must_use]
     pub fn next_wake(&self) -> UnixMs {
         self.wake
     }
 
-    /// Handles one event and appends what is to be done, in order.
+    /// Handles one event and appends the resulting actions to `actions`, in order.
     pub fn handle(&mut self, now: Now, event: EntryEvent, actions: &mut Vec<EntryAction>) {
-        let turn = &mut Turn { now, stamp: self.stamp, actions };
+        let ctx = &mut EventContext { now, stamp: self.stamp, actions };
         let ticked = matches!(event, EntryEvent::Tick);
-        self.apply(turn, event);
+        self.apply(ctx, event);
         if ticked {
-            self.run_periodic(turn);
+            self.run_periodic(ctx);
         }
         if ticked || self.wake.is_past(now) {
-            self.run_timers(turn);
+            self.run_timers(ctx);
         }
         if self.dispatch_due {
             self.dispatch_due = false;
-            self.dispatch(turn);
+            self.dispatch(ctx);
         }
-        self.end_drain(turn);
+        self.finish_drain_if_idle(ctx);
     }
 
-    fn apply(&mut self, turn: &mut Turn<'_>, event: EntryEvent) {
+    fn apply(&mut self, ctx: &mut EventContext<'_>, event: EntryEvent) {
         match event {
             EntryEvent::Tick => {}
-            EntryEvent::Adopted { stamp, document } => self.adopt(turn, stamp, document),
-            EntryEvent::Instances(list) => self.learn_instances(turn, &list),
+            EntryEvent::Adopted { stamp, document } => self.adopt_document(ctx, stamp, document),
+            EntryEvent::Instances(list) => self.apply_instance_list(ctx, &list),
             EntryEvent::LinkOpened { link, backend_server, incarnation } => {
-                self.link_opened(turn, link, &backend_server, incarnation);
+                self.handle_link_opened(ctx, link, &backend_server, incarnation);
             }
-            EntryEvent::LinkClosed { link } => self.link_closed(turn, link),
-            EntryEvent::Message { link, message } => self.receive(turn, link, message),
-            EntryEvent::Arrived(arrival) => self.arrive(turn, *arrival),
-            EntryEvent::CallerGone { request } => self.caller_gone(turn, request),
-            EntryEvent::Drain => self.begin_drain(turn),
+            EntryEvent::LinkClosed { link } => self.handle_link_closed(ctx, link),
+            EntryEvent::Message { link, message } => self.handle_message(ctx, link, message),
+            EntryEvent::Arrived(arrival) => self.handle_arrival(ctx, *arrival),
+            EntryEvent::CallerGone { request } => self.handle_caller_gone(ctx, request),
+            EntryEvent::Drain => self.begin_drain(ctx),
         }
     }
 
-    fn begin_drain(&mut self, turn: &mut Turn<'_>) {
+    fn begin_drain(&mut self, ctx: &mut EventContext<'_>) {
         if !self.draining {
             self.draining = true;
-            turn.audit(Change::DrainBegun);
+            ctx.audit(Change::DrainBegun);
         }
     }
 
-    fn end_drain(&mut self, turn: &mut Turn<'_>) {
+    fn finish_drain_if_idle(&mut self, ctx: &mut EventContext<'_>) {
         if self.draining && !self.drained && self.requests.is_empty() {
             self.drained = true;
-            turn.audit(Change::DrainEnded);
-            turn.push(EntryAction::Drained);
+            ctx.audit(Change::DrainEnded);
+            ctx.push(EntryAction::Drained);
         }
     }
 
-    /// Makes sure that the timers run at this moment.
-    pub(super) fn wake_by(&mut self, at: UnixMs) {
+    /// Makes sure that the timers run no later than `at`.
+    pub(super) fn schedule_wake(&mut self, at: UnixMs) {
         self.wake = self.wake.min(at);
     }
 
-    /// Reports an invariant that did not hold. The caller of this takes the safe way.
-    pub(super) fn violated(&mut self, turn: &mut Turn<'_>, violation: &Violation) {
+    /// Counts and audits a violated invariant. The caller of this method then ends the request with
+    /// the outcome that is safe.
+    pub(super) fn report_violation(&mut self, ctx: &mut EventContext<'_>, violation: &Violation) {
         self.counters.violations += 1;
-        turn.audit(Change::InvariantViolated { detail: violation.to_string() });
+        ctx.audit(Change::InvariantViolated { detail: violation.to_string() });
     }
 }
--- a/crates/core/src/entry/counters.rs
+++ b/crates/core/src/entry/counters.rs
@@ -1,56 +1,57 @@
-//! Counts of what an entry has done, for metrics.
+//! Event counters of an entry, exported as metrics.
 
 use serde::Serialize;
 
-/// Counts since the start of the process.
+/// Counts since the start of the process. Field names are part of the metric names.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct EntryCounters {
     /// Requests that arrived.
     pub arrived: u64,
-    /// Whole answers.
+    /// Requests that ended with a complete response.
     pub finished: u64,
-    /// Final answers `NotRun`.
+    /// Requests refused with the verdict `NotRun`.
     pub refused_not_run: u64,
-    /// Final answers `MayHaveRun`.
+    /// Requests refused with the verdict `MayHaveRun`.
     pub refused_may_have_run: u64,
-    /// Final answers `Ran` without a whole answer.
+    /// Requests refused with the verdict `Ran`.
     pub refused_ran: u64,
-    /// Requests whose caller went away.
+    /// Requests whose caller disconnected before the final response.
     pub callers_gone: u64,
     /// Attempts submitted.
     pub submitted: u64,
-    /// Attempts beyond the first of their request.
+    /// Attempts that were retries of their request.
     pub retried: u64,
-    /// Attempts that ended without a whole answer.
+    /// Attempts that ended without a complete response.
     pub attempts_failed: u64,
     /// Revocations sent.
     pub revokes_sent: u64,
-    /// Attempts proven not to have run by a revocation.
+    /// Attempts that a revocation proved not to have run.
     pub tombstoned: u64,
     /// Attachments sent.
     pub attaches_sent: u64,
-    /// Links asked for.
+    /// Links that the entry tried to open.
     pub links_opened: u64,
-    /// Links that could not be opened or were not who they should be.
+    /// Links that could not be opened, or that reached an agent of another backend server.
     pub links_failed: u64,
-    /// Links that ended by themselves.
+    /// Established links that were closed other than by this entry.
     pub links_lost: u64,
-    /// Links judged silent.
+    /// Links replaced because an acknowledgement was overdue.
     pub links_suspected: u64,
     /// Links closed for being idle.
     pub links_idle_closed: u64,
-    /// Agents that came back as another incarnation.
+    /// Agents found with another incarnation on a new link.
     pub agents_restarted: u64,
     /// Heartbeats sent.
     pub heartbeats_sent: u64,
-    /// Messages dropped because their link is not in use.
+    /// Messages dropped because their link is unknown or not yet established.
     pub dropped_unknown_link: u64,
-    /// Messages dropped because their attempt is not live, or belongs to another incarnation.
+    /// Messages dropped because their attempt is not live, or belongs to another agent or
+    /// incarnation.
     pub dropped_foreign: u64,
-    /// Doubled heads and pieces dropped.
+    /// Duplicate heads and chunks dropped.
     pub dropped_doubled: u64,
-    /// Pieces dropped because too many came before their time.
+    /// Chunks dropped because too many were buffered while earlier ones were missing.
     pub dropped_early: u64,
-    /// Invariants that did not hold.
+    /// Violated invariants.
     pub violations: u64,
 }
--- a/crates/core/src/entry/turn.rs
+++ b/crates/core/src/entry/event_context.rs
@@ -1,20 +1,20 @@
-//! What the systems need while one event is handled.
+//! Context in which one event is handled.
 
 use crate::audit::{AuditRecord, Change};
-use crate::entry::border::EntryAction;
+use crate::entry::interface::EntryAction;
 use crate::ids::LinkId;
 use crate::message::ToAgent;
 use crate::time::Now;
 use hickorycross_config::Stamp;
 
-/// One event's moment and the actions that it causes.
-pub(super) struct Turn<'a> {
+/// Time of an event, stamp of the document in force, and the actions that the event causes.
+pub(super) struct EventContext<'a> {
     pub(super) now: Now,
     pub(super) stamp: Stamp,
     pub(super) actions: &'a mut Vec<EntryAction>,
 }
 
-impl Turn<'_> {
+impl EventContext<'_> {
     pub(super) fn push(&mut self, action: EntryAction) {
         self.actions.push(action);
     }
--- a/crates/core/src/entry/fleet.rs
+++ b/crates/core/src/entry/fleet.rs
@@ -1,10 +1,13 @@
-//! Documents and instance lists: which backend servers there are and where they run.
+//! Documents, instance lists and health of backend servers.
+//!
+//! Each backend server is bound to the instance that gets its new attempts. Circuits that open or
+//! close change which backend servers are eligible.
 
 use crate::audit::Change;
 use crate::entry::backend::Backend;
 use crate::entry::core::EntryCore;
+use crate::entry::event_context::EventContext;
 use crate::entry::peer::Peer;
-use crate::entry::turn::Turn;
 use crate::health::Signal;
 use crate::ids::InstanceId;
 use crate::instance::{Instance, InstanceState, Role};
@@ -14,8 +17,13 @@
 use std::sync::Arc;
 
 impl EntryCore {
-    pub(super) fn adopt(&mut self, turn: &mut Turn<'_>, stamp: Stamp, document: Arc<Document>) {
-        self.policies.limits.adopt(turn.now, &document);
+    pub(super) fn adopt_document(
+        &mut self,
+        ctx: &mut EventContext<'_>,
+        stamp: Stamp,
+        document: Arc<Document>,
+    ) {
+        self.policies.limits.adopt(ctx.now, &document);
         self.policies.routing.adopt(&document);
         self.policies.retries.adopt(&document);
         self.backends.retain(|id, _| document.backend(id.as_str()).is_some());
@@ -26,26 +34,26 @@
             row.or_insert_with(|| Backend::new(server, new_health_policy())).update(server, region);
         }
         self.stamp = stamp;
-        turn.stamp = stamp;
+        ctx.stamp = stamp;
         self.document = Some(document);
-        self.rebind();
+        self.rebind_backends();
     }
 
-    pub(super) fn learn_instances(&mut self, turn: &mut Turn<'_>, list: &[Instance]) {
+    pub(super) fn apply_instance_list(&mut self, ctx: &mut EventContext<'_>, list: &[Instance]) {
         let entries = list.iter().filter(|one| is_live(one) && one.role == Role::Entry).count();
         let entries = u32::try_from(entries).unwrap_or(u32::MAX);
-        self.policies.limits.set_entry_count(turn.now, entries);
+        self.policies.limits.set_entry_count(ctx.now, entries);
         for peer in self.peers.values_mut() {
             peer.listed_live = false;
         }
         for instance in list {
-            self.learn_instance(instance);
+            self.apply_instance(instance);
         }
-        self.forget_peers();
-        self.rebind();
+        self.remove_unused_peers();
+        self.rebind_backends();
     }
 
-    fn learn_instance(&mut self, instance: &Instance) {
+    fn apply_instance(&mut self, instance: &Instance) {
         let Role::Agent { backend_server } = &instance.role else { return };
         let peer = self
             .peers
@@ -58,18 +66,18 @@
         peer.listed_live = is_live(instance) && peer.backend_server == *backend_server;
     }
 
-    /// Peers that the list no longer names and that hold nothing of ours.
-    fn forget_peers(&mut self) {
+    /// Removes peers that the list does not name as live and that hold no attempts or links.
+    fn remove_unused_peers(&mut self) {
         self.peers.retain(|_, peer| {
             peer.listed_live || !peer.requests.is_empty() || peer.links().next().is_some()
         });
     }
 
-    /// Binds each backend server to the instance that gets its new work.
+    /// Binds each backend server to the instance that gets its new attempts.
     ///
-    /// The list lags: an old instance may still be named beside its successor. One that said it
-    /// leaves is left out, and a binding that still holds is kept.
-    pub(super) fn rebind(&mut self) {
+    /// The instance list may lag and name an old instance beside its successor. An instance whose
+    /// agent reported that it is leaving is skipped, and a binding that is still usable is kept.
+    pub(super) fn rebind_backends(&mut self) {
         self.subsets.clear();
         self.dispatch_due = true;
         let best = best_hosts(&self.peers);
@@ -84,25 +92,31 @@
 
     /// Passes a signal about an instance to the health policy of its backend server.
     ///
-    /// Signals about an instance that has a successor already must not count against that one.
-    pub(super) fn signal(&mut self, turn: &mut Turn<'_>, instance: &InstanceId, signal: Signal) {
+    /// Signals about an instance that has been replaced are ignored, so that they do not count
+    /// against its successor.
+    pub(super) fn signal(
+        &mut self,
+        ctx: &mut EventContext<'_>,
+        instance: &InstanceId,
+        signal: Signal,
+    ) {
         let Some(peer) = self.peers.get(instance) else { return };
         let backend_server = peer.backend_server.clone();
         let Some(backend) = self.backends.get_mut(&backend_server) else { return };
         if backend.instance.as_ref().is_some_and(|bound| bound != instance) {
             return;
         }
-        backend.signal(turn.now, signal);
+        backend.signal(ctx.now, signal);
         if signal == Signal::Failed {
-            self.policies.routing.record_failure(turn.now, &backend_server);
+            self.policies.routing.record_failure(ctx.now, &backend_server);
         }
-        self.note_circuit(turn, &backend_server);
+        self.update_circuit(ctx, &backend_server);
     }
 
-    /// Records a circuit that opened or closed; the subsets follow.
-    fn note_circuit(&mut self, turn: &mut Turn<'_>, backend_server: &BackendServerId) {
+    /// Audits a circuit that opened or closed, and clears the cached subsets.
+    fn update_circuit(&mut self, ctx: &mut EventContext<'_>, backend_server: &BackendServerId) {
         let Some(backend) = self.backends.get_mut(backend_server) else { return };
-        let open = backend.is_open(turn.now);
+        let open = backend.is_open(ctx.now);
         if open == backend.circuit_open {
             return;
         }
@@ -111,7 +125,7 @@
         let fault = backend.last_fault;
         self.subsets.clear();
         self.dispatch_due = true;
-        turn.audit(if open {
+        ctx.audit(if open {
             let reason = fault.map_or_else(String::new, |signal| format!("{signal:?}"));
             Change::CircuitOpened { backend_server, reason }
         } else {
@@ -119,42 +133,42 @@
         });
     }
 
-    /// What is looked at a few times a second: circuits that change with time, demand reports.
-    pub(super) fn run_periodic(&mut self, turn: &mut Turn<'_>) {
+    /// Runs at every tick: checks for circuits that change with time, and sends due demand reports.
+    pub(super) fn run_periodic(&mut self, ctx: &mut EventContext<'_>) {
         let backends: Vec<BackendServerId> = self.backends.keys().cloned().collect();
         for backend_server in &backends {
-            self.note_circuit(turn, backend_server);
+            self.update_circuit(ctx, backend_server);
         }
-        for report in self.policies.limits.due_reports(turn.now) {
+        for report in self.policies.limits.due_reports(ctx.now) {
             self.demands.insert(report.to.clone(), report.demands);
-            self.report_demand(turn, &report.to);
+            self.report_demand(ctx, &report.to);
         }
-        self.forget_peers();
+        self.remove_unused_peers();
     }
 
-    /// Sends a demand report, or opens the link that it needs.
-    fn report_demand(&mut self, turn: &mut Turn<'_>, to: &BackendServerId) {
+    /// Sends a demand report, or opens a link on which it will be sent.
+    fn report_demand(&mut self, ctx: &mut EventContext<'_>, to: &BackendServerId) {
         let instance = self.backends.get(to).and_then(|one| one.instance.clone());
         let Some(instance) = instance else {
             self.demands.swap_remove(to);
             return;
         };
-        self.ensure_link(turn, &instance);
-        self.send_demand(turn, to);
+        self.ensure_link(ctx, &instance);
+        self.send_demand(ctx, to);
     }
 
-    /// Sends the latest demand report for an agent whose link is up.
-    pub(super) fn send_demand(&mut self, turn: &mut Turn<'_>, to: &BackendServerId) {
+    /// Sends the pending demand report of an agent, if there is one and a link is active.
+    pub(super) fn send_demand(&mut self, ctx: &mut EventContext<'_>, to: &BackendServerId) {
         let instance = self.backends.get(to).and_then(|one| one.instance.as_ref());
         let Some(link) = instance.and_then(|one| self.peers.get(one)?.active) else { return };
         if let Some(demands) = self.demands.swap_remove(to) {
-            self.touch_link(turn.now, link);
-            turn.send(link, ToAgent::Demand(demands));
+            self.postpone_idle_close(ctx.now, link);
+            ctx.send(link, ToAgent::Demand(demands));
         }
     }
 }
 
-/// The instance of each backend server that is easiest to reach, among those that take work.
+/// Returns, for each backend server, the usable instance with the fewest failures to open a link.
 fn best_hosts(peers: &IndexMap<InstanceId, Peer>) -> IndexMap<&BackendServerId, &InstanceId> {
     let mut best: IndexMap<&BackendServerId, &InstanceId> = IndexMap::new();
     for (instance, peer) in peers.iter().filter(|(_, peer)| peer.is_usable()) {
--- a/crates/core/src/entry/mechanisms.rs
+++ b/crates/core/src/entry/mechanisms.rs
@@ -1,39 +1,39 @@
-//! Switches that let a test show which failure each mechanism prevents.
+//! Switches with which a test shows which failure each mechanism prevents.
 
-/// Mechanisms of an entry. All are on outside mutation checks.
+/// Mechanisms of an entry against failures. All are enabled except in tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[doc(hidden)]
 pub struct Mechanisms {
-    /// Unacknowledged attempts are revoked on a fresh link.
+    /// Unacknowledged attempts are revoked on a new link.
     pub revoke: bool,
-    /// Live attempts are attached again on a fresh link.
+    /// Accepted attempts are attached again on a new link.
     pub reattach: bool,
-    /// A missing acknowledgement leads to a fresh link.
+    /// A new link is opened when an acknowledgement is overdue.
     pub fresh_link_on_silence: bool,
-    /// Links with live attempts are probed by heartbeats.
+    /// Links are probed by heartbeats.
     pub heartbeats: bool,
-    /// An answer must match the counts of its end marker.
+    /// A response must match the counts of its end marker.
     pub end_marker_check: bool,
-    /// Pieces are put in order by their numbers.
+    /// Chunks are ordered by their index.
     pub chunk_order: bool,
-    /// Messages count only for the live attempt of their request.
+    /// Messages are accepted only for the live attempt of their request.
     pub attempt_id_check: bool,
-    /// Messages count only from the agent incarnation that has the attempt.
+    /// Messages are accepted only from the agent incarnation that has the attempt.
     pub incarnation_binding: bool,
-    /// A non-idempotent request is tried again only after `NotRun`.
+    /// A non-idempotent request is retried only after `NotRun`.
     pub retry_only_not_run: bool,
-    /// A request whose answer has begun is not tried again.
+    /// A request is not retried once the head of a response was sent to its caller.
     pub no_retry_after_begin: bool,
-    /// Deadlines are checked at every step that acts.
+    /// Deadlines are checked before every step of a request.
     pub deadline_check: bool,
-    /// An agent that says it leaves gets no new work.
+    /// An agent that reports that it is leaving gets no new attempts.
     pub agent_leaving: bool,
-    /// Requests with an idempotency key go to the home of the key alone.
+    /// Requests with an idempotency key are sent only to the home of the key.
     pub key_home_only: bool,
 }
 
 impl Mechanisms {
-    /// Everything on.
+    /// All mechanisms enabled.
     pub const ALL: Self = Self {
         revoke: true,
         reattach: true,
--- a/crates/core/src/entry/mod.rs
+++ b/crates/core/src/entry/mod.rs
@@ -1,37 +1,52 @@
-//! The decisions of an entry: admission, attempts, links, retries.
+//! Decision logic of an entry, the process that takes requests from callers.
 //!
-//! Tables: requests with their one live attempt, peers (agents by instance), links, backend
-//! servers. Systems: admission, dispatch, receiving, streaming, settling, links, timers, fleet.
+//! An entry admits a request, sends it as an attempt to the agent of a backend server, and streams
+//! the response back to the caller. If the attempt fails, the entry retries the request where its
+//! idempotency permits, or refuses it with a verdict on whether it ran. A request has at most one
+//! live attempt at a time.
+//!
+//! [`EntryCore`] owns all state and turns each [`EntryEvent`] into [`EntryAction`]s. Its methods
+//! are spread over the submodules by topic:
+//!
+//! - `admit` checks an arriving request against the document and the team's limit, with
+//!   `route_lookup`;
+//! - `dispatch` chooses a backend server for each waiting request, among those in `subset`;
+//! - `messages`, `stream` and `agent_reports` handle messages from agents, and `response` puts the
+//!   chunks of a response in order;
+//! - `settle` ends attempts and requests, and decides on retries;
+//! - `links` opens, replaces and closes links to agents; `timers` runs whatever is due by time;
+//! - `fleet` applies documents and instance lists, and tracks the health of backend servers;
+//! - `guard` checks the invariants of a request's outcome independently of the tables above.
 
 mod admit;
-mod answer;
+mod agent_reports;
 mod backend;
-mod border;
-mod catalog;
 mod constants;
 mod core;
 mod counters;
 mod dispatch;
+mod event_context;
 mod fleet;
-mod ledger;
+mod guard;
+mod interface;
 mod links;
 mod mechanisms;
+mod messages;
 mod peer;
-mod receive;
-mod report;
 mod request;
+mod response;
 mod round_trip;
+mod route_lookup;
 mod settle;
 mod setup;
 mod snapshot;
 mod stream;
 mod subset;
 mod timers;
-mod turn;
 
 pub use self::core::EntryCore;
-pub use border::{Arrival, EntryAction, EntryEvent, Refusal, RefusalCode, RequestTarget};
 pub use counters::EntryCounters;
+pub use interface::{Arrival, EntryAction, EntryEvent, Refusal, RefusalCode, RequestTarget};
 pub use mechanisms::Mechanisms;
 pub use setup::{EntryIdentity, EntryPolicies, HealthPolicyFactory};
 pub use snapshot::{BackendView, EntrySnapshot, LinkUsage, LinkView, StandingView};
--- a/crates/core/src/entry/peer.rs
+++ b/crates/core/src/entry/peer.rs
@@ -1,4 +1,4 @@
-//! Rows of the peer and link tables: agents by instance, and the connections to them.
+//! The entry's state of agents and of the links to them.
 
 use crate::entry::round_trip::RoundTrip;
 use crate::ids::{AttemptId, Incarnation, InstanceId, LinkId, RequestId};
@@ -8,36 +8,36 @@
 use indexmap::IndexSet;
 use std::net::SocketAddr;
 
-/// The agent on one instance.
+/// The agent on one instance, across its restarts.
 #[derive(Debug)]
 pub(super) struct Peer {
     pub(super) backend_server: BackendServerId,
     pub(super) address: SocketAddr,
-    /// The instance list names it as live.
+    /// Whether the instance list names the instance as live.
     pub(super) listed_live: bool,
-    /// Its agent said that it takes no new work.
+    /// Whether the agent reported that it accepts no new attempts.
     pub(super) leaving: bool,
-    /// The incarnation that answered last.
+    /// The agent's incarnation on the latest established link.
     pub(super) incarnation: Option<Incarnation>,
-    /// The link in use.
+    /// The established link on which messages are sent.
     pub(super) active: Option<LinkId>,
-    /// A silent link, kept until a fresh one answers, in case that it was only slow.
+    /// A silent link, kept until a new one is established in case it was only slow.
     pub(super) suspect: Option<LinkId>,
     /// A link that is being opened.
     pub(super) opening: Option<LinkId>,
-    /// No link is opened before this moment.
+    /// End of the backoff before which no link is opened.
     pub(super) next_open: UnixMs,
-    /// Failures to open a link since the last success.
+    /// Consecutive failures to open a link.
     pub(super) failed_opens: u32,
     pub(super) round_trip: RoundTrip,
     pub(super) load: Option<Load>,
     pub(super) load_received: UnixMs,
-    /// Attempts sent that the latest report cannot contain.
+    /// Attempts sent that the latest load report does not yet include.
     pub(super) sent_since_report: u32,
-    /// Requests whose live attempt is there.
+    /// Requests whose live attempt is at this agent.
     pub(super) requests: IndexSet<RequestId>,
-    /// Attempts that nobody waits for, not yet cancelled for want of a link.
-    pub(super) cancels: IndexSet<AttemptId>,
+    /// Abandoned attempts, to be cancelled on the next link.
+    pub(super) pending_cancels: IndexSet<AttemptId>,
 }
 
 impl Peer {
@@ -58,61 +58,62 @@
             load_received: UnixMs(0),
             sent_since_report: 0,
             requests: IndexSet::new(),
-            cancels: IndexSet::new(),
+            pending_cancels: IndexSet::new(),
         }
     }
 
-    /// Whether it may get new work, as far as list and agent say.
+    /// Returns whether the instance is listed as live and its agent has not reported leaving.
     pub(super) fn is_usable(&self) -> bool {
         self.listed_live && !self.leaving
     }
 
-    /// Whether it said that it leaves, and is still meant to be up.
+    /// Returns whether the agent reported leaving while its instance is still listed as live, so
+    /// that a new agent may have started there.
     pub(super) fn may_have_returned(&self) -> bool {
         self.listed_live && self.leaving
     }
 
-    /// Links that it holds, in whatever state.
+    /// Returns the links to the agent, in any state.
     pub(super) fn links(&self) -> impl Iterator<Item = LinkId> {
         [self.active, self.suspect, self.opening].into_iter().flatten()
     }
 }
 
-/// One connection.
+/// A connection to an agent.
 #[derive(Debug)]
 pub(super) struct Link {
     pub(super) instance: InstanceId,
     pub(super) state: LinkState,
 }
 
-/// How far a connection has come.
+/// State of a connection.
 #[derive(Debug)]
 pub(super) enum LinkState {
-    /// Asked for.
+    /// The connection was requested.
     Opening {
-        /// When it counts as failed.
-        give_up: UnixMs,
+        /// When opening it counts as failed.
+        times_out_at: UnixMs,
     },
-    /// The agent has answered.
-    Up(UpLink),
+    /// The connection is established and the agent has identified itself.
+    Connected(ConnectedLink),
 }
 
-/// A connection that is up.
+/// State of an established connection.
 #[derive(Debug)]
-pub(super) struct UpLink {
-    /// The agent incarnation at its other end.
+pub(super) struct ConnectedLink {
+    /// The agent's incarnation.
     pub(super) incarnation: Incarnation,
-    /// When something was last heard on it.
-    pub(super) last_heard: UnixMs,
-    /// When the next heartbeat is due whatever is heard.
+    /// When a message was last received on it.
+    pub(super) last_received: UnixMs,
+    /// When the next heartbeat is due at the latest.
     pub(super) heartbeat_due: UnixMs,
-    /// The heartbeat that waits for its answer.
+    /// The heartbeat that has not been acknowledged yet.
     pub(super) pending: Option<PendingHeartbeat>,
-    /// When it is closed unless an attempt needs it.
+    /// When it is closed unless it has live attempts.
     pub(super) idle_close: UnixMs,
 }
 
-/// A heartbeat without its answer.
+/// A heartbeat that has not been acknowledged.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingHeartbeat {
     pub(super) nonce: u64,
@@ -121,18 +122,18 @@
 }
 
 impl Link {
-    /// The state of a connection that is up.
-    pub(super) fn up(&self) -> Option<&UpLink> {
+    /// Returns the state of an established connection.
+    pub(super) fn connected(&self) -> Option<&ConnectedLink> {
         match &self.state {
-            LinkState::Up(up) => Some(up),
+            LinkState::Connected(connected) => Some(connected),
             LinkState::Opening { .. } => None,
         }
     }
 
-    /// The same, to change it.
-    pub(super) fn up_mut(&mut self) -> Option<&mut UpLink> {
+    /// Returns the state of an established connection, mutably.
+    pub(super) fn connected_mut(&mut self) -> Option<&mut ConnectedLink> {
         match &mut self.state {
-            LinkState::Up(up) => Some(up),
+            LinkState::Connected(connected) => Some(connected),
             LinkState::Opening { .. } => None,
         }
     }
--- a/crates/core/src/entry/request.rs
+++ b/crates/core/src/entry/request.rs
@@ -1,6 +1,6 @@
-//! Rows of the request table: what a caller waits for, and the one attempt that is live for it.
+//! The entry's state of an open request and of its live attempt.
 
-use crate::entry::answer::Answer;
+use crate::entry::response::ResponseAssembly;
 use crate::ids::{AttemptId, Incarnation, InstanceId};
 use crate::message::{KeyDigest, RequestHead, Submit};
 use crate::time::{Now, UnixMs};
@@ -9,7 +9,7 @@
 use hickorycross_config::{BackendServerId, RouteId, TeamId, TierId};
 use indexmap::IndexSet;
 
-/// One request that has no final answer yet.
+/// A request that has no final response yet.
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) team: TeamId,
@@ -18,27 +18,27 @@
     pub(super) route: RouteId,
     pub(super) idempotent: bool,
     pub(super) key: Option<KeyDigest>,
-    pub(super) content: u64,
-    pub(super) prefix: Option<u64>,
+    pub(super) content_digest: u64,
+    pub(super) prefix_digest: Option<u64>,
     pub(super) deadline: UnixMs,
     pub(super) head: RequestHead,
     pub(super) body: Bytes,
-    /// Attempts made so far; the ordinal of the next one.
+    /// Number of attempts made so far, which is the ordinal of the next one.
     pub(super) tries: u16,
-    /// Backend servers that were tried.
+    /// Backend servers to which attempts were sent.
     pub(super) tried: IndexSet<BackendServerId>,
-    /// The greatest verdict of the attempts that ended.
+    /// The greatest verdict of the ended attempts.
     pub(super) verdict: Verdict,
-    /// No attempt is made before this moment.
+    /// No attempt is sent before this time.
     pub(super) not_before: UnixMs,
-    /// The request no longer waits for a link to open at this moment.
-    pub(super) link_wait: UnixMs,
+    /// Until when the request may wait for a link to open.
+    pub(super) link_wait_until: UnixMs,
     pub(super) attempt: Option<Attempt>,
 }
 
 impl Request {
-    /// The message that hands an attempt to an agent.
-    pub(super) fn submit(&self, attempt: AttemptId, agent: Incarnation) -> Submit {
+    /// Builds the message that submits an attempt to an agent.
+    pub(super) fn submit_message(&self, attempt: AttemptId, agent: Incarnation) -> Submit {
         Submit {
             attempt,
             agent,
@@ -47,50 +47,50 @@
             route: self.route.clone(),
             idempotent: self.idempotent,
             key: self.key,
-            content: self.content,
+            content: self.content_digest,
             deadline: self.deadline,
             head: self.head.clone(),
             body: self.body.clone(),
         }
     }
 
-    /// What can be said of its execution now.
+    /// Returns what is known now about whether the request ran.
     pub(super) fn verdict_now(&self) -> Verdict {
         let live = self.attempt.as_ref().map_or(Verdict::NotRun, Attempt::verdict_now);
         self.verdict.max(live)
     }
 
-    /// The earliest moment at which something is to be done about it.
+    /// Returns the earliest time at which a timer of the request is due.
     pub(super) fn next_due(&self, now: Now) -> UnixMs {
         let step = match &self.attempt {
             Some(attempt) => attempt.next_due(),
-            None if self.not_before.is_past(now) => self.link_wait,
+            None if self.not_before.is_past(now) => self.link_wait_until,
             None => self.not_before,
         };
         self.deadline.min(step)
     }
 }
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Progress {
-    /// Sent; the agent has not said a word about it.
+    /// Sent, and not acknowledged yet.
     Submitted {
         /// When the acknowledgement is overdue.
         ack_due: UnixMs,
     },
-    /// Out of touch before it was acknowledged; to be revoked on a fresh link.
-    Lost,
-    /// A revocation was sent on a fresh link.
+    /// The link failed before the acknowledgement. The attempt is revoked on a new link.
+    Disconnected,
+    /// A revocation was sent on a new link.
     Revoking {
-        /// When its answer is overdue.
+        /// When the reply to the revocation is overdue.
         ack_due: UnixMs,
     },
-    /// The agent has it.
+    /// The agent has acknowledged the attempt.
     Accepted,
 }
 
-/// One try of a request at one agent incarnation.
+/// One submission of a request to one agent incarnation.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) id: AttemptId,
@@ -99,29 +99,29 @@
     pub(super) incarnation: Incarnation,
     pub(super) sent: UnixMs,
     pub(super) progress: Progress,
-    /// While out of touch: when it is given up.
+    /// When the attempt fails unless its agent is reached again; set while the link is lost.
     pub(super) recover_until: Option<UnixMs>,
-    /// When it is attached again for want of progress.
-    pub(super) quiet: UnixMs,
-    /// Attachments since the last progress.
+    /// When the attempt is attached again unless it makes progress.
+    pub(super) reattach_due: UnixMs,
+    /// Number of attachments since the last progress.
     pub(super) reattaches: u32,
-    /// The backend server answered with a server error.
+    /// Whether the backend server responded with a status of 500 or above.
     pub(super) server_error: bool,
-    pub(super) answer: Answer,
+    pub(super) response: ResponseAssembly,
 }
 
 impl Attempt {
-    /// What can be said of its execution now.
+    /// Returns what is known now about whether the attempt ran.
     pub(super) fn verdict_now(&self) -> Verdict {
-        if self.answer.has_started() { Verdict::Ran } else { Verdict::MayHaveRun }
+        if self.response.has_started() { Verdict::Ran } else { Verdict::MayHaveRun }
     }
 
-    /// The earliest moment at which something is to be done about it.
+    /// Returns the earliest time at which a timer of the attempt is due.
     pub(super) fn next_due(&self) -> UnixMs {
         let step = match self.progress {
             Progress::Submitted { ack_due } | Progress::Revoking { ack_due } => ack_due,
-            Progress::Accepted => self.quiet,
-            Progress::Lost => UnixMs::NEVER,
+            Progress::Accepted => self.reattach_due,
+            Progress::Disconnected => UnixMs::NEVER,
         };
         self.recover_until.map_or(step, |until| until.min(step))
     }
--- a/crates/core/src/entry/round_trip.rs
+++ b/crates/core/src/entry/round_trip.rs
@@ -1,28 +1,28 @@
-//! Smoothed round trip to an agent and the wait for an acknowledgement that follows from it.
+//! Smoothed round trip time to an agent, and the acknowledgement timeout derived from it.
 
 use crate::entry::constants::{ACK_MAX_MS, ACK_MIN_MS, ACK_ROUND_TRIPS, INITIAL_ROUND_TRIP_MS};
 use crate::time::{Now, UnixMs};
 
-/// Weight of a new sample, as a power of two: one eighth.
-const SMOOTHED_SHIFT: u32 = 3;
+/// Right shift that gives a new sample a weight of one eighth in the mean.
+const MEAN_SHIFT: u32 = 3;
 
-/// Weight of a new deviation, as a power of two: one quarter.
+/// Right shift that gives a new sample a weight of one quarter in the deviation.
 const DEVIATION_SHIFT: u32 = 2;
 
-/// Deviations added to the smoothed round trip.
-const DEVIATIONS: u64 = 4;
+/// Number of deviations added to the mean.
+const DEVIATION_FACTOR: u64 = 4;
 
-/// Doublings of the wait after consecutive suspicions at most.
-const BACK_OFF_MAX: u32 = 4;
+/// Maximum number of doublings of the timeout after consecutive silent links.
+const BACK_OFF_DOUBLINGS_MAX: u32 = 4;
 
-/// Measured round trips to one agent; the links to it share one path.
+/// Round trip estimate of one agent, shared by all links to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RoundTrip {
     measured: Option<Smoothed>,
     suspicions: u32,
 }
 
-/// Smoothed in microseconds, so that a path of two milliseconds is not rounded away.
+/// Smoothed mean and deviation, in microseconds so that smoothing does not round away small values.
 #[derive(Clone, Copy, Debug)]
 struct Smoothed {
     mean_us: u64,
@@ -30,7 +30,7 @@
 }
 
 impl RoundTrip {
-    /// Learns from an acknowledgement of something sent at `sent`.
+    /// Adds a sample: an acknowledgement that arrived now for a message sent at `sent`.
     pub(super) fn observe(&mut self, now: Now, sent: UnixMs) {
         let sample_us = now.unix_ms.since(sent).saturating_mul(1_000);
         self.suspicions = 0;
@@ -41,25 +41,26 @@
         let error_us = smoothed.mean_us.abs_diff(sample_us);
         let kept_us = smoothed.deviation_us - (smoothed.deviation_us >> DEVIATION_SHIFT);
         smoothed.deviation_us = kept_us + (error_us >> DEVIATION_SHIFT);
-        let kept_us = smoothed.mean_us - (smoothed.mean_us >> SMOOTHED_SHIFT);
-        smoothed.mean_us = kept_us + (sample_us >> SMOOTHED_SHIFT);
+        let kept_us = smoothed.mean_us - (smoothed.mean_us >> MEAN_SHIFT);
+        smoothed.mean_us = kept_us + (sample_us >> MEAN_SHIFT);
     }
 
-    /// Waits longer the next time: a path that became slow must not be taken for silent for ever.
+    /// Doubles the next timeout, so that a path that became slow is not taken for silent again and
+    /// again.
     pub(super) fn back_off(&mut self) {
-        self.suspicions = (self.suspicions + 1).min(BACK_OFF_MAX);
+        self.suspicions = (self.suspicions + 1).min(BACK_OFF_DOUBLINGS_MAX);
     }
 
-    /// When an acknowledgement of something sent now is overdue.
+    /// Returns the time at which the acknowledgement of a message sent now is overdue.
     pub(super) fn ack_due(&self, now: Now) -> UnixMs {
-        let one_ms = self.measured.map_or(INITIAL_ROUND_TRIP_MS, |smoothed| {
-            (smoothed.mean_us + DEVIATIONS * smoothed.deviation_us).div_ceil(1_000)
+        let estimate_ms = self.measured.map_or(INITIAL_ROUND_TRIP_MS, |smoothed| {
+            (smoothed.mean_us + DEVIATION_FACTOR * smoothed.deviation_us).div_ceil(1_000)
         });
-        let wait_ms = (ACK_ROUND_TRIPS * one_ms).max(ACK_MIN_MS) << self.suspicions;
+        let wait_ms = (ACK_ROUND_TRIPS * estimate_ms).max(ACK_MIN_MS) << self.suspicions;
         now.after(wait_ms.min(ACK_MAX_MS))
     }
 
-    /// The smoothed round trip in milliseconds, once measured.
+    /// Returns the smoothed round trip in milliseconds, or `None` before the first sample.
     pub(super) fn mean_ms(&self) -> Option<f64> {
         self.measured.map(|smoothed| smoothed.mean_us as f64 / 1_000.0)
     }
--- a/crates/core/src/entry/settle.rs
+++ b/crates/core/src/entry/settle.rs
@@ -1,13 +1,13 @@
-//! The end of an attempt and of a request.
+//! The end of attempts and requests.
 //!
-//! A request that is given up gets its final answer at once, with the greatest verdict of its
-//! attempts; what is left of them is cancelled.
+//! A failed attempt is retried if its verdict and the retry budget permit. Otherwise the request is
+//! refused with the greatest verdict of its attempts, and a live attempt is cancelled.
 
-use crate::entry::border::{EntryAction, Refusal, RefusalCode};
-use crate::entry::constants::{CANCELS_MAX, LINK_WAIT_MS};
+use crate::entry::constants::{LINK_WAIT_MS, PENDING_CANCELS_MAX};
 use crate::entry::core::EntryCore;
+use crate::entry::event_context::EventContext;
+use crate::entry::interface::{EntryAction, Refusal, RefusalCode};
 use crate::entry::request::{Attempt, Progress, Request};
-use crate::entry::turn::Turn;
 use crate::health::Signal;
 use crate::ids::{AttemptId, InstanceId, RequestId};
 use crate::message::ToAgent;
@@ -15,46 +15,51 @@
 use crate::time::UnixMs;
 use crate::verdict::Verdict;
 
-/// Why an attempt ended without a whole answer.
+/// Why an attempt ended without a complete response.
 #[derive(Clone, Debug)]
-pub(super) struct Ending {
+pub(super) struct AttemptFailure {
     pub(super) code: RefusalCode,
     pub(super) verdict: Verdict,
     pub(super) retry_at: Option<UnixMs>,
     pub(super) detail: String,
-    /// Whether another attempt could have another outcome.
-    pub(super) retry: bool,
+    /// Whether another attempt could succeed.
+    pub(super) may_retry: bool,
 }
 
 impl EntryCore {
-    /// Ends the live attempt of a request: another try if its fate permits one, else the final
-    /// answer.
-    pub(super) fn end_attempt(
+    /// Ends the live attempt of a request, and retries the request if permitted or else refuses it.
+    pub(super) fn fail_attempt(
         &mut self,
-        turn: &mut Turn<'_>,
+        ctx: &mut EventContext<'_>,
         request: RequestId,
-        mut ending: Ending,
+        mut failure: AttemptFailure,
     ) {
         let Some(attempt) = self.take_attempt(request) else { return };
         self.counters.attempts_failed += 1;
-        let started = attempt.answer.has_started();
-        if let Err(violation) = self.ledger.settle(attempt.id, ending.verdict, started) {
-            self.violated(turn, &violation);
+        let started = attempt.response.has_started();
+        if let Err(violation) = self.guard.record_verdict(attempt.id, failure.verdict, started) {
+            self.report_violation(ctx, &violation);
         }
         if started {
-            ending.verdict = Verdict::Ran;
+            failure.verdict = Verdict::Ran;
         }
         let Some(row) = self.requests.get_mut(&request) else { return };
-        row.verdict = row.verdict.max(ending.verdict);
-        let fixed = attempt.answer.begun && self.mechanisms.no_retry_after_begin;
-        if !fixed && ending.retry && self.try_again(turn, request, ending.verdict) {
+        row.verdict = row.verdict.max(failure.verdict);
+        let committed = attempt.response.head_delivered && self.mechanisms.no_retry_after_begin;
+        if !committed && failure.may_retry && self.queue_retry(ctx, request, failure.verdict) {
             return;
         }
-        self.conclude(turn, request, ending.code, ending.retry_at, ending.detail);
+        self.refuse_removed(ctx, request, failure.code, failure.retry_at, failure.detail);
     }
 
-    /// Queues a request for another attempt, if verdict and budget permit one.
-    fn try_again(&mut self, turn: &mut Turn<'_>, request: RequestId, verdict: Verdict) -> bool {
+    /// Queues a request for another attempt if the verdict and the retry budget permit one. Returns
+    /// whether it was queued.
+    fn queue_retry(
+        &mut self,
+        ctx: &mut EventContext<'_>,
+        request: RequestId,
+        verdict: Verdict,
+    ) -> bool {
         let Some(row) = self.requests.get_mut(&request) else { return false };
         let permitted =
             verdict.permits_retry(row.idempotent) || !self.mechanisms.retry_only_not_run;
@@ -62,20 +67,20 @@
             return false;
         }
         let retries = &mut self.policies.retries;
-        let decision = retries.decide(turn.now, &row.route, row.tries, row.deadline);
+        let decision = retries.decide(ctx.now, &row.route, row.tries, row.deadline);
         let RetryDecision::RetryAt(at) = decision else { return false };
         row.not_before = at;
-        row.link_wait = at.max(turn.now.unix_ms).after(LINK_WAIT_MS);
+        row.link_wait_until = at.max(ctx.now.unix_ms).after(LINK_WAIT_MS);
         self.waiting.insert(request);
         self.dispatch_due = true;
-        self.wake_by(at);
+        self.schedule_wake(at);
         true
     }
 
-    /// Gives up a request whatever its state, and cancels what is left of it.
+    /// Refuses a request in any state, and cancels its live attempt.
     pub(super) fn give_up(
         &mut self,
-        turn: &mut Turn<'_>,
+        ctx: &mut EventContext<'_>,
         request: RequestId,
         code: RefusalCode,
         retry_at: Option<UnixMs>,
@@ -84,54 +89,54 @@
         let Some(row) = self.requests.get_mut(&request) else { return };
         row.verdict = row.verdict_now();
         if let Some(attempt) = self.take_attempt(request) {
-            self.cancel(turn, request, &attempt);
+            self.cancel_attempt(ctx, request, &attempt);
         }
-        self.conclude(turn, request, code, retry_at, detail);
+        self.refuse_removed(ctx, request, code, retry_at, detail);
     }
 
-    /// The final answer of a request without a live attempt.
-    fn conclude(
+    /// Removes a request without a live attempt, and refuses it.
+    fn refuse_removed(
         &mut self,
-        turn: &mut Turn<'_>,
+        ctx: &mut EventContext<'_>,
         request: RequestId,
         code: RefusalCode,
         retry_at: Option<UnixMs>,
         detail: String,
     ) {
-        let Some(row) = self.remove(request) else { return };
-        self.refuse(turn, request, Refusal { code, verdict: row.verdict, retry_at, detail });
+        let Some(row) = self.remove_request(request) else { return };
+        self.refuse(ctx, request, Refusal { code, verdict: row.verdict, retry_at, detail });
     }
 
-    /// The final answer of a request whose deadline has passed.
-    pub(super) fn expire(&mut self, turn: &mut Turn<'_>, request: RequestId) {
+    /// Refuses a request whose deadline has passed.
+    pub(super) fn refuse_expired(&mut self, ctx: &mut EventContext<'_>, request: RequestId) {
         let detail = "the deadline has passed".to_owned();
-        self.give_up(turn, request, RefusalCode::DeadlinePassed, None, detail);
+        self.give_up(ctx, request, RefusalCode::DeadlinePassed, None, detail);
     }
 
-    /// Whether a request's deadline has passed.
-    pub(super) fn is_expired(&self, turn: &Turn<'_>, request: RequestId) -> bool {
-        let past = |row: &Request| row.deadline.is_past(turn.now);
+    /// Returns whether a request's deadline has passed.
+    pub(super) fn is_expired(&self, ctx: &EventContext<'_>, request: RequestId) -> bool {
+        let past = |row: &Request| row.deadline.is_past(ctx.now);
         self.mechanisms.deadline_check && self.requests.get(&request).is_some_and(past)
     }
 
-    /// Nobody waits any more.
-    pub(super) fn caller_gone(&mut self, turn: &mut Turn<'_>, request: RequestId) {
+    /// Ends a request whose caller disconnected, and cancels its live attempt.
+    pub(super) fn handle_caller_gone(&mut self, ctx: &mut EventContext<'_>, request: RequestId) {
         if let Some(attempt) = self.take_attempt(request) {
-            self.cancel(turn, request, &attempt);
+            self.cancel_attempt(ctx, request, &attempt);
         }
-        if self.remove(request).is_none() {
+        if self.remove_request(request).is_none() {
             return;
         }
         self.counters.callers_gone += 1;
-        if let Err(violation) = self.ledger.give_up(request) {
-            self.violated(turn, &violation);
+        if let Err(violation) = self.guard.record_refusal(request) {
+            self.report_violation(ctx, &violation);
         }
     }
 
-    /// Ends an attempt whose agent could not be reached again, or came back as another process.
-    pub(super) fn lose_attempt(
+    /// Fails an attempt whose agent could not be reached again or was restarted.
+    pub(super) fn fail_lost_attempt(
         &mut self,
-        turn: &mut Turn<'_>,
+        ctx: &mut EventContext<'_>,
         request: RequestId,
         detail: &'static str,
     ) {
@@ -140,21 +145,21 @@
         };
         let (instance, id) = (attempt.instance.clone(), attempt.id);
         let incarnation = attempt.incarnation;
-        let ending = Ending {
+        let failure = AttemptFailure {
             code: RefusalCode::Interrupted,
             verdict: attempt.verdict_now(),
             retry_at: None,
             detail: detail.to_owned(),
-            retry: true,
+            may_retry: true,
         };
         if self.peers.get(&instance).is_some_and(|peer| peer.incarnation == Some(incarnation)) {
-            self.remember_cancel(&instance, id);
+            self.queue_cancel(&instance, id);
         }
-        self.signal(turn, &instance, Signal::Failed);
-        self.end_attempt(turn, request, ending);
+        self.signal(ctx, &instance, Signal::Failed);
+        self.fail_attempt(ctx, request, failure);
     }
 
-    /// Takes the live attempt out of its request and its peer.
+    /// Removes the live attempt from its request and its peer, and returns it.
     pub(super) fn take_attempt(&mut self, request: RequestId) -> Option<Attempt> {
         let attempt = self.requests.get_mut(&request)?.attempt.take()?;
         if let Some(peer) = self.peers.get_mut(&attempt.instance) {
@@ -163,68 +168,78 @@
         Some(attempt)
     }
 
-    /// Takes a request out of the tables.
-    pub(super) fn remove(&mut self, request: RequestId) -> Option<Request> {
+    /// Removes a request from the tables, and returns it.
+    pub(super) fn remove_request(&mut self, request: RequestId) -> Option<Request> {
         self.waiting.shift_remove(&request);
         self.requests.swap_remove(&request)
     }
 
-    /// Tells the agent that nobody waits for an attempt.
+    /// Tells the agent that an attempt has been abandoned.
     ///
-    /// An attempt that was not acknowledged is revoked: a cancellation could overtake its
-    /// submission, which would then run for nobody.
-    fn cancel(&mut self, turn: &mut Turn<'_>, request: RequestId, attempt: &Attempt) {
+    /// An attempt that was not acknowledged is revoked instead of cancelled, because a cancellation
+    /// could overtake the submission, which would then still run.
+    fn cancel_attempt(
+        &mut self,
+        ctx: &mut EventContext<'_>,
+        request: RequestId,
+        attempt: &Attempt,
+    ) {
         let Some(peer) = self.peers.get(&attempt.instance) else { return };
         let Some(link) = peer.active.or(peer.suspect) else {
-            return self.remember_cancel(&attempt.instance, attempt.id);
+            return self.queue_cancel(&attempt.instance, attempt.id);
         };
         let silent = peer.active.is_none();
         if attempt.progress == Progress::Accepted {
-            turn.send(link, ToAgent::Cancel { attempt: attempt.id });
+            ctx.send(link, ToAgent::Cancel { attempt: attempt.id });
         } else if let Some(row) = self.requests.get(&request) {
-            let message = revocation(attempt, row.deadline);
-            turn.send(link, message);
+            let message = revoke_message(attempt, row.deadline);
+            ctx.send(link, message);
         }
         if silent {
-            self.remember_cancel(&attempt.instance, attempt.id);
+            self.queue_cancel(&attempt.instance, attempt.id);
         }
     }
 
-    /// Keeps a cancellation for the next link to the agent.
-    fn remember_cancel(&mut self, instance: &InstanceId, attempt: AttemptId) {
+    /// Keeps a cancellation to be sent on the next link to the agent.
+    fn queue_cancel(&mut self, instance: &InstanceId, attempt: AttemptId) {
         if let Some(peer) = self.peers.get_mut(instance)
-            && peer.cancels.len() < CANCELS_MAX
+            && peer.pending_cancels.len() < PENDING_CANCELS_MAX
         {
-            peer.cancels.insert(attempt);
+            peer.pending_cancels.insert(attempt);
         }
     }
 
-    /// Ends a request with its whole answer.
-    pub(super) fn finish(&mut self, turn: &mut Turn<'_>, request: RequestId, chunk_count: u32) {
+    /// Ends a request whose response is complete.
+    pub(super) fn finish(
+        &mut self,
+        ctx: &mut EventContext<'_>,
+        request: RequestId,
+        chunk_count: u32,
+    ) {
         let Some(attempt) = self.take_attempt(request) else { return };
-        if let Err(violation) = self.ledger.finish(attempt.id, chunk_count) {
-            self.violated(turn, &violation);
+        if let Err(violation) = self.guard.record_completion(attempt.id, chunk_count) {
+            self.report_violation(ctx, &violation);
             let detail = "the answer is not whole".to_owned();
             if let Some(row) = self.requests.get_mut(&request) {
                 row.verdict = Verdict::Ran;
             }
-            return self.conclude(turn, request, RefusalCode::BadAnswer, None, detail);
+            return self.refuse_removed(ctx, request, RefusalCode::BadAnswer, None, detail);
         }
-        self.remove(request);
+        self.remove_request(request);
         self.counters.finished += 1;
-        turn.push(EntryAction::Finish { request });
+        ctx.push(EntryAction::Finish { request });
         if !attempt.server_error {
-            self.signal(turn, &attempt.instance, Signal::Answered);
+            self.signal(ctx, &attempt.instance, Signal::Answered);
         }
     }
 }
 
-/// The message that makes sure that an attempt does not start.
-pub(super) fn revocation(attempt: &Attempt, deadline: UnixMs) -> ToAgent {
+/// Builds the message that revokes an attempt, so that it does not start if it has not yet.
+pub(super) fn revoke_message(attempt: &Attempt, deadline: UnixMs) -> ToAgent {
     ToAgent::Revoke {
         attempt: attempt.id,
         agent: attempt.incarnation,
         deadline,
-        next_chunk: attempt.answer.next_chunk(),
+        next_chunk: attempt.response.next_chunk(),
     }
 }
--- a/crates/core/src/entry/setup.rs
+++ b/crates/core/src/entry/setup.rs
@@ -1,4 +1,4 @@
-//! What an entry is made of: its identity and its policies.
+//! Identity and policies with which an entry is created.
 
 use crate::health::{CircuitBreaker, HealthPolicy, ReportedHealth};
 use crate::ids::Incarnation;
@@ -8,35 +8,36 @@
 use hickorycross_config::FailureDomainId;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Tries of a request under the baseline policies.
+/// Maximum attempts of a request under the baseline policies.
 const BASELINE_ATTEMPTS: u16 = 3;
 
-/// Who an entry is.
+/// Identity of one process of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryIdentity {
-    /// Drawn at random when the process starts.
+    /// Chosen at random when the process starts.
     pub incarnation: Incarnation,
-    /// Where it stands.
+    /// The failure domain that the entry runs in.
     pub failure_domain: FailureDomainId,
 }
 
-/// Makes the health policy of one backend server.
+/// Creates the health policy of one backend server.
 pub type HealthPolicyFactory = Box<dyn Fn() -> Box<dyn HealthPolicy> + Send>;
 
-/// The policies that an entry consults.
+/// Exchangeable policies of an entry.
 pub struct EntryPolicies {
-    /// Chooses a backend server.
+    /// Chooses a backend server for each attempt.
     pub routing: Box<dyn RoutingPolicy>,
-    /// Holds team limits.
+    /// Enforces team limits.
     pub limits: Box<dyn TeamLimiter>,
-    /// Holds the budget of further tries.
+    /// Decides whether and when a request is retried.
     pub retries: Box<dyn RetryBudget>,
-    /// Makes the health policy of each backend server.
+    /// Creates the health policy of each backend server.
     pub health: HealthPolicyFactory,
 }
 
 impl EntryPolicies {
-    /// The baseline policies.
+    /// Returns simple baseline policies: least outstanding requests, no team limits, a fixed number
+    /// of attempts, and health as reported by agents.
     #[must_use]
     pub fn baseline() -> Self {
         Self {
@@ -47,8 +48,10 @@
         }
     }
 
-    /// The policies of production. Entries differ in their seeds, so that they do not follow one
-    /// another to the same backend server, nor probe or retry in step.
+    /// Returns the policies used in production.
+    ///
+    /// Each entry needs its own seed, so that entries do not all choose the same backend server, or
+    /// probe and retry at the same time.
     #[must_use]
     pub fn production(seed: u64) -> Self {
         let next_health_seed = AtomicU64::new(seed);
--- a/crates/core/src/entry/snapshot.rs
+++ b/crates/core/src/entry/snapshot.rs
@@ -1,4 +1,4 @@
-//! What an entry shows of itself on its status page.
+//! State of an entry as shown on its status page.
 
 use crate::entry::core::EntryCore;
 use crate::entry::peer::{Link, LinkState};
@@ -10,33 +10,33 @@
 use indexmap::IndexMap;
 use serde::Serialize;
 
-/// One entry at one moment.
+/// State of an entry at one moment.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EntrySnapshot {
-    /// What it has adopted.
+    /// Revision and digest of the document in force.
     pub stamp: Stamp,
-    /// Whether it takes nothing new.
+    /// Whether the entry is draining and refuses new requests.
     pub draining: bool,
-    /// Requests without a final answer, by tier.
+    /// Number of requests without a final response, by tier.
     pub in_flight: IndexMap<TierId, u32>,
-    /// Those of them that wait for a backend server.
+    /// Number of those requests without a live attempt.
     pub waiting: u32,
-    /// Its links.
+    /// Links to agents.
     pub links: Vec<LinkView>,
-    /// The backend servers of the document.
+    /// Backend servers of the document.
     pub backends: Vec<BackendView>,
 }
 
-/// One link.
+/// A link to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LinkView {
-    /// Its number.
+    /// Identifier of the link.
     pub link: LinkId,
-    /// The instance at its other end.
+    /// The agent's instance.
     pub instance: InstanceId,
-    /// The agent's incarnation, once it is up.
+    /// The agent's incarnation, once the link is established.
     pub incarnation: Option<Incarnation>,
-    /// What it is used for.
+    /// What the link is used for.
     pub usage: LinkUsage,
     /// Smoothed round trip in milliseconds.
     pub round_trip_ms: Option<f64>,
@@ -48,36 +48,36 @@
 pub enum LinkUsage {
     /// It is being opened.
     Opening,
-    /// It is in use.
+    /// It is established and in use.
     Active,
-    /// It is silent; a fresh one is being opened.
+    /// It is silent, and is kept until a new link is established or it is no longer needed.
     Suspect,
 }
 
-/// One backend server as the entry sees it.
+/// A backend server as seen by the entry.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct BackendView {
-    /// Its name.
+    /// Identifier of the backend server.
     pub backend_server: BackendServerId,
-    /// The instance that gets its new work.
+    /// The instance to which new attempts are sent.
     pub instance: Option<InstanceId>,
-    /// Its standing.
+    /// Its health, as judged by the health policy.
     pub standing: StandingView,
-    /// Attempts of this entry that are open there.
+    /// Live attempts of this entry at that instance.
     pub outstanding: u32,
-    /// Its latest report.
+    /// The latest load report of its agent.
     pub load: Option<Load>,
 }
 
-/// The standing of a backend server.
+/// The health of a backend server, with the traffic that it gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StandingView {
-    /// It gets this share of its normal traffic, in thousandths.
+    /// It gets this share of its normal traffic, in permille.
     SharePermille(u16),
-    /// It gets nothing.
+    /// Its circuit is open, and it gets no requests.
     Open,
-    /// It may get one request as a probe.
+    /// Its circuit is half-open, and it may get one request as a probe.
     Probe,
 }
 
@@ -92,7 +92,7 @@
 }
 
 impl EntryCore {
-    /// Shows links, backend servers and requests in flight.
+    /// Returns the current state of links, backend servers and requests.
     #[must_use]
     pub fn snapshot(&self, now: Now) -> EntrySnapshot {
         let mut in_flight = IndexMap::new();
@@ -113,15 +113,15 @@
         let peer = self.peers.get(&row.instance);
         let usage = match row.state {
             LinkState::Opening { .. } => LinkUsage::Opening,
-            LinkState::Up(_) if peer.is_some_and(|one| one.active == Some(link)) => {
+            LinkState::Connected(_) if peer.is_some_and(|one| one.active == Some(link)) => {
                 LinkUsage::Active
             }
-            LinkState::Up(_) => LinkUsage::Suspect,
+            LinkState::Connected(_) => LinkUsage::Suspect,
         };
         LinkView {
             link,
             instance: row.instance.clone(),
-            incarnation: row.up().map(|up| up.incarnation),
+            incarnation: row.connected().map(|connected| connected.incarnation),
             usage,
             round_trip_ms: peer.and_then(|one| one.round_trip.mean_ms()),
         }
--- a/crates/core/src/entry/stream.rs
+++ b/crates/core/src/entry/stream.rs
@@ -1,12 +1,12 @@
-//! Answers on their way to callers.
+//! Forwarding of responses to callers.
 
-use crate::entry::answer::{ChunkTaken, Completeness, EndMarker};
-use crate::entry::border::{EntryAction, RefusalCode};
-use crate::entry::constants::RECEIVED_EVERY_CHUNKS;
+use crate::entry::constants::ACK_EVERY_CHUNKS;
 use crate::entry::core::EntryCore;
+use crate::entry::event_context::EventContext;
+use crate::entry::interface::{EntryAction, RefusalCode};
 use crate::entry::request::Progress;
-use crate::entry::settle::Ending;
-use crate::entry::turn::Turn;
+use crate::entry::response::{ChunkOutcome, Completeness, EndMarker};
+use crate::entry::settle::AttemptFailure;
 use crate::health::Signal;
 use crate::ids::{AttemptId, LinkId, RequestId};
 use crate::message::{ResponseHead, ToAgent};
@@ -17,216 +17,220 @@
 const SERVER_ERROR: u16 = 500;
 
 impl EntryCore {
-    pub(super) fn head(
+    pub(super) fn handle_head(
         &mut self,
-        turn: &mut Turn<'_>,
+        ctx: &mut EventContext<'_>,
         link: LinkId,
         attempt: AttemptId,
         head: ResponseHead,
     ) {
-        let Some(request) = self.live_request(turn, link, attempt) else {
-            return turn.send(link, ToAgent::Cancel { attempt });
+        let Some(request) = self.live_request(ctx, link, attempt) else {
+            return ctx.send(link, ToAgent::Cancel { attempt });
         };
         let server_error = head.status >= SERVER_ERROR;
         let Some(live) = self.attempt_mut(request) else { return };
-        if !live.answer.take_head(head) {
+        if !live.response.store_head(head) {
             self.counters.dropped_doubled += 1;
             return;
         }
         live.server_error = server_error;
-        self.progressed(turn, link, request);
+        self.record_progress(ctx, link, request);
         if server_error {
-            self.signal_of_attempt(turn, request, Signal::Failed);
+            self.signal_for_attempt(ctx, request, Signal::Failed);
         }
-        self.deliver(turn, link, request);
+        self.deliver(ctx, link, request);
     }
 
-    /// Gives the head to the caller, right before the first piece or the end.
+    /// Sends the head to the caller, right before the first chunk or the end of the response.
+    /// Returns whether the response can continue.
     ///
-    /// Backend servers send their head at once and work afterwards. Were it passed on at once, the
-    /// request would be bound to this attempt while nothing of the answer exists: one would see
-    /// answers cut off after their head when an agent dies, although another backend server could
-    /// give the whole of them.
-    fn begin(&mut self, turn: &mut Turn<'_>, request: RequestId) -> bool {
+    /// Many backend servers send the head before they start to work. A head that was sent to the
+    /// caller rules out a retry. Sent immediately, it would turn every failure of an agent during
+    /// that work into a truncated response, although another backend server could still respond.
+    fn deliver_head(&mut self, ctx: &mut EventContext<'_>, request: RequestId) -> bool {
         let Some(live) = self.attempt_mut(request) else { return false };
         let id = live.id;
-        let Some(head) = live.answer.begin() else { return true };
-        if let Err(violation) = self.ledger.begin(id) {
-            self.violated(turn, &violation);
-            self.interrupt(turn, request, "another answer had begun");
+        let Some(head) = live.response.take_head() else { return true };
+        if let Err(violation) = self.guard.record_head(id) {
+            self.report_violation(ctx, &violation);
+            self.interrupt(ctx, request, "another answer had begun");
             return false;
         }
-        turn.push(EntryAction::Head { request, head });
+        ctx.push(EntryAction::Head { request, head });
         true
     }
 
-    pub(super) fn chunk(
+    pub(super) fn handle_chunk(
         &mut self,
-        turn: &mut Turn<'_>,
+        ctx: &mut EventContext<'_>,
         link: LinkId,
         attempt: AttemptId,
         index: u32,
         bytes: Bytes,
     ) {
-        let Some(request) = self.live_request(turn, link, attempt) else {
-            // The cancellation of an abandoned attempt may have been lost; not at every piece.
-            if index.is_multiple_of(RECEIVED_EVERY_CHUNKS) {
-                turn.send(link, ToAgent::Cancel { attempt });
+        let Some(request) = self.live_request(ctx, link, attempt) else {
+            // The cancellation of an abandoned attempt may have been lost. It is repeated, but not
+            // for every chunk.
+            if index.is_multiple_of(ACK_EVERY_CHUNKS) {
+                ctx.send(link, ToAgent::Cancel { attempt });
             }
             return;
         };
         let numbered = self.mechanisms.chunk_order;
         let Some(live) = self.attempt_mut(request) else { return };
-        let index = if numbered { index } else { live.answer.next_chunk() };
-        match live.answer.take_chunk(index, bytes) {
-            ChunkTaken::Held => {}
-            ChunkTaken::Doubled => self.counters.dropped_doubled += 1,
-            ChunkTaken::TooEarly => self.counters.dropped_early += 1,
+        let index = if numbered { index } else { live.response.next_chunk() };
+        match live.response.store_chunk(index, bytes) {
+            ChunkOutcome::Buffered => {}
+            ChunkOutcome::Duplicate => self.counters.dropped_doubled += 1,
+            ChunkOutcome::BufferFull => self.counters.dropped_early += 1,
         }
-        self.touch_progress(link, request);
-        self.deliver(turn, link, request);
+        self.confirm_started(link, request);
+        self.deliver(ctx, link, request);
     }
 
-    pub(super) fn end_marker(
+    pub(super) fn handle_end(
         &mut self,
-        turn: &mut Turn<'_>,
+        ctx: &mut EventContext<'_>,
         link: LinkId,
         attempt: AttemptId,
         chunk_count: u32,
         byte_count: u64,
     ) {
-        let Some(request) = self.live_request(turn, link, attempt) else { return };
+        let Some(request) = self.live_request(ctx, link, attempt) else { return };
         let checked = self.mechanisms.end_marker_check;
         let Some(live) = self.attempt_mut(request) else { return };
-        if !checked && live.answer.headed {
-            let held = live.answer.next_chunk();
-            if !self.begin(turn, request) {
+        if !checked && live.response.has_head {
+            let held = live.response.next_chunk();
+            if !self.deliver_head(ctx, request) {
                 return;
             }
-            return self.finish(turn, request, held);
+            return self.finish(ctx, request, held);
         }
-        live.answer.take_end(EndMarker { chunk_count, byte_count });
-        self.touch_progress(link, request);
-        self.deliver(turn, link, request);
+        live.response.store_end(EndMarker { chunk_count, byte_count });
+        self.confirm_started(link, request);
+        self.deliver(ctx, link, request);
     }
 
-    /// Gives out what is in order, then judges whether the answer is whole.
-    fn deliver(&mut self, turn: &mut Turn<'_>, link: LinkId, request: RequestId) {
+    /// Sends all chunks that are in order to the caller, then checks whether the response is
+    /// complete.
+    fn deliver(&mut self, ctx: &mut EventContext<'_>, link: LinkId, request: RequestId) {
         let mut moved = false;
-        while let Some((id, index, bytes)) = self.next_piece(request) {
-            if !self.begin(turn, request) {
+        while let Some((id, index, bytes)) = self.next_ready_chunk(request) {
+            if !self.deliver_head(ctx, request) {
                 return;
             }
-            if let Err(violation) = self.ledger.chunk(id, index) {
-                self.violated(turn, &violation);
-                return self.interrupt(turn, request, "pieces came out of order");
+            if let Err(violation) = self.guard.record_chunk(id, index) {
+                self.report_violation(ctx, &violation);
+                return self.interrupt(ctx, request, "pieces came out of order");
             }
-            turn.push(EntryAction::Chunk { request, bytes });
+            ctx.push(EntryAction::Chunk { request, bytes });
             if index == 0 {
-                self.observe_first_chunk(turn, request);
+                self.observe_first_chunk(ctx, request);
             }
             moved = true;
         }
         if moved {
-            self.progressed(turn, link, request);
+            self.record_progress(ctx, link, request);
         }
-        self.acknowledge(turn, link, request);
-        self.judge(turn, link, request);
+        self.acknowledge(ctx, link, request);
+        self.check_completeness(ctx, link, request);
     }
 
-    fn next_piece(&mut self, request: RequestId) -> Option<(AttemptId, u32, Bytes)> {
+    fn next_ready_chunk(&mut self, request: RequestId) -> Option<(AttemptId, u32, Bytes)> {
         let live = self.attempt_mut(request)?;
-        let (index, bytes) = live.answer.next_ready()?;
+        let (index, bytes) = live.response.next_ready()?;
         Some((live.id, index, bytes))
     }
 
-    fn acknowledge(&mut self, turn: &mut Turn<'_>, link: LinkId, request: RequestId) {
+    fn acknowledge(&mut self, ctx: &mut EventContext<'_>, link: LinkId, request: RequestId) {
         let Some(live) = self.attempt_mut(request) else { return };
-        if let Some(next_chunk) = live.answer.due_acknowledgement() {
-            turn.send(link, ToAgent::Received { attempt: live.id, next_chunk });
+        if let Some(next_chunk) = live.response.due_acknowledgement() {
+            ctx.send(link, ToAgent::Received { attempt: live.id, next_chunk });
         }
     }
 
-    fn judge(&mut self, turn: &mut Turn<'_>, link: LinkId, request: RequestId) {
+    fn check_completeness(&mut self, ctx: &mut EventContext<'_>, link: LinkId, request: RequestId) {
         let Some(live) = self.attempt_mut(request) else { return };
-        let (attempt, next_chunk) = (live.id, live.answer.next_chunk());
-        match live.answer.completeness() {
+        let (attempt, next_chunk) = (live.id, live.response.next_chunk());
+        match live.response.completeness() {
             Completeness::Open => {}
-            Completeness::Gap => self.hasten_reattach(turn, request),
+            Completeness::Gap => self.schedule_reattach(ctx, request),
             Completeness::Whole => {
-                if !self.begin(turn, request) {
+                if !self.deliver_head(ctx, request) {
                     return;
                 }
-                turn.send(link, ToAgent::Received { attempt, next_chunk });
-                self.finish(turn, request, next_chunk);
+                ctx.send(link, ToAgent::Received { attempt, next_chunk });
+                self.finish(ctx, request, next_chunk);
             }
             Completeness::Contradiction => {
                 let detail = "the end marker contradicts the answer".to_owned();
-                let ending = Ending {
+                let failure = AttemptFailure {
                     code: RefusalCode::BadAnswer,
                     verdict: Verdict::Ran,
                     retry_at: None,
                     detail,
-                    retry: true,
+                    may_retry: true,
                 };
-                turn.send(link, ToAgent::Cancel { attempt });
-                self.signal_of_attempt(turn, request, Signal::Failed);
-                self.end_attempt(turn, request, ending);
+                ctx.send(link, ToAgent::Cancel { attempt });
+                self.signal_for_attempt(ctx, request, Signal::Failed);
+                self.fail_attempt(ctx, request, failure);
             }
         }
     }
 
-    /// Lets the routing policy learn how long the first piece took.
-    fn observe_first_chunk(&mut self, turn: &Turn<'_>, request: RequestId) {
+    /// Reports the latency of the first chunk to the routing policy.
+    fn observe_first_chunk(&mut self, ctx: &EventContext<'_>, request: RequestId) {
         let Some(row) = self.requests.get(&request) else { return };
         let Some(live) = row.attempt.as_ref() else { return };
-        let first_chunk_ms = turn.now.unix_ms.since(live.sent);
-        self.policies.routing.record_start(turn.now, row.rank);
-        self.policies.routing.record_first_chunk(turn.now, &live.backend_server, first_chunk_ms);
+        let first_chunk_ms = ctx.now.unix_ms.since(live.sent);
+        self.policies.routing.record_start(ctx.now, row.rank);
+        self.policies.routing.record_first_chunk(ctx.now, &live.backend_server, first_chunk_ms);
     }
 
-    /// Pieces are missing: attach again soon, unless they arrive by themselves.
-    fn hasten_reattach(&mut self, turn: &mut Turn<'_>, request: RequestId) {
+    /// Brings the next attachment forward because chunks are missing. They may still arrive by
+    /// themselves until then.
+    fn schedule_reattach(&mut self, ctx: &mut EventContext<'_>, request: RequestId) {
         let Some(live) = self.requests.get_mut(&request).and_then(|row| row.attempt.as_mut())
         else {
             return;
         };
         let Some(peer) = self.peers.get(&live.instance) else { return };
-        live.quiet = live.quiet.min(peer.round_trip.ack_due(turn.now));
-        let quiet = live.quiet;
-        self.wake_by(quiet);
+        live.reattach_due = live.reattach_due.min(peer.round_trip.ack_due(ctx.now));
+        let reattach_due = live.reattach_due;
+        self.schedule_wake(reattach_due);
     }
 
-    /// The answer moved on: it is neither quiet nor out of touch.
-    fn progressed(&mut self, turn: &mut Turn<'_>, link: LinkId, request: RequestId) {
-        self.touched(turn, link, request);
+    /// Records progress of a response: restarts the stall timeout and the count of attachments.
+    fn record_progress(&mut self, ctx: &mut EventContext<'_>, link: LinkId, request: RequestId) {
+        self.confirm_accepted(ctx, link, request);
         if let Some(live) = self.attempt_mut(request) {
             live.reattaches = 0;
         }
     }
 
-    /// A piece shows that the attempt has started, even when it cannot be delivered yet.
-    fn touch_progress(&mut self, link: LinkId, request: RequestId) {
+    /// Marks an attempt as accepted after a chunk or end marker that may not be deliverable yet.
+    /// This is no progress, so that the stall timeout keeps running.
+    fn confirm_started(&mut self, link: LinkId, request: RequestId) {
         let active = self.is_active(link);
         let Some(live) = self.attempt_mut(request) else { return };
         live.progress = Progress::Accepted;
         if active {
             live.recover_until = None;
         }
-        let quiet = live.quiet;
-        self.wake_by(quiet);
+        let reattach_due = live.reattach_due;
+        self.schedule_wake(reattach_due);
     }
 
-    /// Ends a request whose answer cannot go on.
+    /// Refuses a request whose response cannot be continued.
     pub(super) fn interrupt(
         &mut self,
-        turn: &mut Turn<'_>,
+        ctx: &mut EventContext<'_>,
         request: RequestId,
         detail: &'static str,
     ) {
         if let Some(row) = self.requests.get_mut(&request) {
             row.verdict = Verdict::Ran;
         }
-        self.give_up(turn, request, RefusalCode::Interrupted, None, detail.to_owned());
+        self.give_up(ctx, request, RefusalCode::Interrupted, None, detail.to_owned());
     }
 }
