--- a/crates/core/tests/entry_failures.rs
+++ b/crates/core/tests/entry_failures.rs
@@ -1,8 +1,8 @@
-//! Failures of the request path at one entry, and which mechanism prevents each.
+//! Tests the outcome of each failure on the request path, and which mechanism each outcome needs.
 
 mod entry_support;
 
-use entry_support::scenarios as s;
+use entry_support::scenarios;
 use googletest::prelude::*;
 use hickorycross_core::entry::Mechanisms;
 
@@ -13,139 +13,145 @@
 
 macro_rules! cases {
     ($($name:ident),* $(,)?) => {
-        [$(Case { name: stringify!($name), run: s::$name }),*]
+        [$(Case { name: stringify!($name), run: scenarios::$name }),*]
     };
 }
 
 const CASES: [Case; 20] = cases![
-    unacknowledged_submission_is_revoked_and_tried_again,
+    unacknowledged_submission_is_revoked_and_retried,
     running_attempt_is_attached_after_revocation,
-    silent_stream_is_attached_from_the_next_piece,
-    restart_ends_a_non_idempotent_request,
-    restart_is_survived_by_an_idempotent_request,
+    silent_stream_is_attached_from_the_next_chunk,
+    agent_restart_ends_a_non_idempotent_request,
+    agent_restart_retries_an_idempotent_request,
     unreachable_agent_ends_a_non_idempotent_request,
-    pieces_of_an_abandoned_attempt_are_dropped,
-    answer_with_a_gap_is_never_whole,
-    answer_with_other_bytes_is_never_whole,
-    reordered_and_doubled_pieces_make_one_answer,
-    answer_that_began_is_not_tried_again,
-    failed_non_idempotent_request_is_not_tried_again,
-    refusal_after_the_answer_began_proves_nothing,
-    paused_process_finds_its_requests_expired,
+    chunks_of_an_abandoned_attempt_are_dropped,
+    response_with_missing_chunks_is_never_complete,
+    response_with_a_wrong_byte_count_is_never_complete,
+    reordered_and_duplicate_chunks_make_one_response,
+    started_response_is_not_retried,
+    failed_non_idempotent_request_is_not_retried,
+    refusal_after_the_response_started_is_not_trusted,
+    requests_expire_while_the_process_is_paused,
     expired_submission_is_revoked,
-    leaving_agent_gets_no_new_work,
+    leaving_agent_gets_no_new_attempts,
     keyed_request_stays_at_the_home_of_its_key,
-    word_of_another_agent_is_not_taken,
-    caller_gone_cancels,
-    lost_end_marker_is_asked_for_again,
+    revocation_result_from_another_agent_is_ignored,
+    disconnected_caller_cancels_the_attempt,
+    lost_end_marker_is_requested_again,
 ];
 
 #[gtest]
-fn failures_come_out_as_promised() {
+fn each_failure_has_its_safe_outcome() {
     for case in &CASES {
         expect_that!((case.run)(Mechanisms::ALL), ok(eq(&())), "{}", case.name);
     }
 }
 
-/// One mechanism turned off, and the failures that then come out wrong.
+/// A disabled mechanism, and the scenarios that fail without it.
 struct Mutation {
     name: &'static str,
     mechanisms: Mechanisms,
-    red: &'static [&'static str],
+    failing: &'static [&'static str],
 }
 
-const ON: Mechanisms = Mechanisms::ALL;
+const ALL: Mechanisms = Mechanisms::ALL;
 
 const MUTATIONS: [Mutation; 13] = [
     Mutation {
         name: "revoke",
-        mechanisms: Mechanisms { revoke: false, ..ON },
-        red: &[
-            "unacknowledged_submission_is_revoked_and_tried_again",
+        mechanisms: Mechanisms { revoke: false, ..ALL },
+        failing: &[
+            "unacknowledged_submission_is_revoked_and_retried",
             "running_attempt_is_attached_after_revocation",
         ],
     },
     Mutation {
         name: "reattach",
-        mechanisms: Mechanisms { reattach: false, ..ON },
-        red: &["silent_stream_is_attached_from_the_next_piece"],
+        mechanisms: Mechanisms { reattach: false, ..ALL },
+        failing: &["silent_stream_is_attached_from_the_next_chunk"],
     },
     Mutation {
         name: "fresh_link_on_silence",
-        mechanisms: Mechanisms { fresh_link_on_silence: false, ..ON },
-        red: &[
-            "unacknowledged_submission_is_revoked_and_tried_again",
+        mechanisms: Mechanisms { fresh_link_on_silence: false, ..ALL },
+        failing: &[
+            "unacknowledged_submission_is_revoked_and_retried",
             "running_attempt_is_attached_after_revocation",
-            "silent_stream_is_attached_from_the_next_piece",
+            "silent_stream_is_attached_from_the_next_chunk",
         ],
     },
     Mutation {
         name: "heartbeats",
-        mechanisms: Mechanisms { heartbeats: false, ..ON },
-        red: &["silent_stream_is_attached_from_the_next_piece"],
+        mechanisms: Mechanisms { heartbeats: false, ..ALL },
+        failing: &["silent_stream_is_attached_from_the_next_chunk"],
     },
     Mutation {
         name: "end_marker_check",
-        mechanisms: Mechanisms { end_marker_check: false, ..ON },
-        red: &["answer_with_a_gap_is_never_whole", "answer_with_other_bytes_is_never_whole"],
+        mechanisms: Mechanisms { end_marker_check: false, ..ALL },
+        failing: &[
+            "response_with_missing_chunks_is_never_complete",
+            "response_with_a_wrong_byte_count_is_never_complete",
+        ],
     },
     Mutation {
         name: "chunk_order",
-        mechanisms: Mechanisms { chunk_order: false, ..ON },
-        red: &[
-            "silent_stream_is_attached_from_the_next_piece",
-            "reordered_and_doubled_pieces_make_one_answer",
+        mechanisms: Mechanisms { chunk_order: false, ..ALL },
+        failing: &[
+            "silent_stream_is_attached_from_the_next_chunk",
+            "reordered_and_duplicate_chunks_make_one_response",
         ],
     },
     Mutation {
         name: "attempt_id_check",
-        mechanisms: Mechanisms { attempt_id_check: false, ..ON },
-        red: &["pieces_of_an_abandoned_attempt_are_dropped"],
+        mechanisms: Mechanisms { attempt_id_check: false, ..ALL },
+        failing: &["chunks_of_an_abandoned_attempt_are_dropped"],
     },
     Mutation {
         name: "incarnation_binding",
-        mechanisms: Mechanisms { incarnation_binding: false, ..ON },
-        red: &[
-            "restart_ends_a_non_idempotent_request",
-            "restart_is_survived_by_an_idempotent_request",
-            "word_of_another_agent_is_not_taken",
+        mechanisms: Mechanisms { incarnation_binding: false, ..ALL },
+        failing: &[
+            "agent_restart_ends_a_non_idempotent_request",
+            "agent_restart_retries_an_idempotent_request",
+            "revocation_result_from_another_agent_is_ignored",
         ],
     },
     Mutation {
         name: "retry_only_not_run",
-        mechanisms: Mechanisms { retry_only_not_run: false, ..ON },
-        red: &[
-            "failed_non_idempotent_request_is_not_tried_again",
-            "refusal_after_the_answer_began_proves_nothing",
+        mechanisms: Mechanisms { retry_only_not_run: false, ..ALL },
+        failing: &[
+            "failed_non_idempotent_request_is_not_retried",
+            "refusal_after_the_response_started_is_not_trusted",
         ],
     },
     Mutation {
         name: "no_retry_after_begin",
-        mechanisms: Mechanisms { no_retry_after_begin: false, ..ON },
-        red: &["answer_with_other_bytes_is_never_whole", "answer_that_began_is_not_tried_again"],
+        mechanisms: Mechanisms { no_retry_after_begin: false, ..ALL },
+        failing: &[
+            "response_with_a_wrong_byte_count_is_never_complete",
+            "started_response_is_not_retried",
+        ],
     },
     Mutation {
         name: "deadline_check",
-        mechanisms: Mechanisms { deadline_check: false, ..ON },
-        red: &["paused_process_finds_its_requests_expired", "expired_submission_is_revoked"],
+        mechanisms: Mechanisms { deadline_check: false, ..ALL },
+        failing: &["requests_expire_while_the_process_is_paused", "expired_submission_is_revoked"],
     },
     Mutation {
         name: "agent_leaving",
-        mechanisms: Mechanisms { agent_leaving: false, ..ON },
-        red: &["leaving_agent_gets_no_new_work"],
+        mechanisms: Mechanisms { agent_leaving: false, ..ALL },
+        failing: &["leaving_agent_gets_no_new_attempts"],
     },
     Mutation {
         name: "key_home_only",
-        mechanisms: Mechanisms { key_home_only: false, ..ON },
-        red: &["keyed_request_stays_at_the_home_of_its_key"],
+        mechanisms: Mechanisms { key_home_only: false, ..ALL },
+        failing: &["keyed_request_stays_at_the_home_of_its_key"],
     },
 ];
 
 #[gtest]
 fn each_mechanism_prevents_a_failure() {
     for mutation in &MUTATIONS {
-        let red = CASES.iter().filter(|case| (case.run)(mutation.mechanisms).is_err());
-        let red: Vec<&str> = red.map(|case| case.name).collect();
-        expect_that!(red, eq(mutation.red), "without {}", mutation.name);
+        let failing = CASES.iter().filter(|case| (case.run)(mutation.mechanisms).is_err());
+        let failing: Vec<&str> = failing.map(|case| case.name).collect();
+        expect_that!(failing, eq(mutation.failing), "without {}", mutation.name);
     }
 }
--- a/crates/core/tests/entry_random.rs
+++ b/crates/core/tests/entry_random.rs
@@ -1,11 +1,11 @@
-//! One entry against scripted agents behind a network that loses, doubles, delays and reorders
-//! messages, lets links go silent, and against agents that restart or cannot be reached.
+//! Randomized test of one entry against simulated agents that restart or cannot be reached, over a
+//! network that loses, duplicates, delays and reorders messages and lets links go silent.
 
 mod entry_support;
 
 use bytes::Bytes;
-use entry_support::fake_agent::{FakeAgent, whole};
-use entry_support::{Caller, START_MS, answered, document, instance};
+use entry_support::fake_agent::{FakeAgent, full_response};
+use entry_support::{Caller, START_MS, document, instance, response_target};
 use googletest::prelude::*;
 use hickorycross_config::{BackendServerId, Digest, FailureDomainId, Stamp, hash_api_key};
 use hickorycross_core::audit::Change;
@@ -24,24 +24,24 @@
 use std::sync::Arc;
 
 const SEEDS: u64 = 12;
-const LOAD_MS: u64 = 20_000;
+const FAULTS_MS: u64 = 20_000;
 const SETTLE_MS: u64 = 25_000;
 const TICK_MS: u64 = 50;
 const BACKENDS: [&str; 3] = ["s-1", "s-2", "s-3"];
 
-/// Chances in ten thousand, for each message or each millisecond.
-const LOST: u32 = 100;
-const DOUBLED: u32 = 300;
-const SLOW: u32 = 300;
-const ARRIVAL: u32 = 400;
-const SILENT: u32 = 20;
-const RESTART: u32 = 4;
-const CUT_OFF: u32 = 5;
-const PAUSE: u32 = 4;
-const GONE: u32 = 10;
+// Probabilities in ten thousandths, for each message or each millisecond.
+const MESSAGE_LOSS: u32 = 100;
+const MESSAGE_DUPLICATION: u32 = 300;
+const MESSAGE_DELAY: u32 = 300;
+const REQUEST_ARRIVAL: u32 = 400;
+const SILENT_LINK: u32 = 20;
+const AGENT_RESTART: u32 = 4;
+const AGENT_CUT_OFF: u32 = 5;
+const ENTRY_PAUSE: u32 = 4;
+const CALLER_DISCONNECT: u32 = 10;
 
 #[derive(Debug)]
-enum Parcel {
+enum Packet {
     ToAgent { agent: usize, incarnation: Incarnation, link: LinkId, message: ToAgent },
     ToEntry(EntryEvent),
 }
@@ -53,7 +53,7 @@
     silent: bool,
 }
 
-struct World {
+struct Simulation {
     core: EntryCore,
     random: ChaCha8Rng,
     now_ms: u64,
@@ -61,26 +61,26 @@
     agents: Vec<FakeAgent>,
     cut_off_until_ms: Vec<u64>,
     links: IndexMap<LinkId, Link>,
-    parcels: Vec<(Reverse<(u64, u64)>, Parcel)>,
+    packets: Vec<(Reverse<(u64, u64)>, Packet)>,
     sequence: u64,
     requests: Vec<(RequestId, bool)>,
-    gone: IndexSet<RequestId>,
+    disconnected: IndexSet<RequestId>,
     executions: IndexMap<RequestId, u32>,
     callers: IndexMap<RequestId, Caller>,
     violations: Vec<String>,
     drained: u32,
-    /// Digest of all actions, once asked for: it costs more than the run itself.
+    /// Digest of all actions. Computed only on request, as it takes longer than the run itself.
     digest: Option<u64>,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, mechanisms: Mechanisms) -> Self {
         let identity = EntryIdentity {
             incarnation: Incarnation(1),
             failure_domain: FailureDomainId::new("fd-a"),
         };
         let core = EntryCore::new(identity, EntryPolicies::baseline(), seed);
-        let mut world = Self {
+        let mut simulation = Self {
             core: core.with_mechanisms(mechanisms),
             random: ChaCha8Rng::seed_from_u64(seed),
             now_ms: START_MS,
@@ -88,10 +88,10 @@
             agents: (0..3).map(|index| FakeAgent::new(Incarnation(100 + index))).collect(),
             cut_off_until_ms: vec![0; BACKENDS.len()],
             links: IndexMap::new(),
-            parcels: Vec::new(),
+            packets: Vec::new(),
             sequence: 0,
             requests: Vec::new(),
-            gone: IndexSet::new(),
+            disconnected: IndexSet::new(),
             executions: IndexMap::new(),
             callers: IndexMap::new(),
             violations: Vec::new(),
@@ -99,22 +99,22 @@
             digest: None,
         };
         let stamp = Stamp { revision: 1, digest: Digest(1) };
-        world.event(EntryEvent::Adopted { stamp, document: Arc::new(document()) });
+        simulation.handle_event(EntryEvent::Adopted { stamp, document: Arc::new(document()) });
         let list = BACKENDS.map(|id| instance(id, InstanceState::Live)).to_vec();
-        world.event(EntryEvent::Instances(list));
-        world
+        simulation.handle_event(EntryEvent::Instances(list));
+        simulation
     }
 
     fn chance(&mut self, of_ten_thousand: u32) -> bool {
         self.random.random_range(0..10_000) < of_ten_thousand
     }
 
-    fn run(&mut self, span_ms: u64, disturbed: bool) {
+    fn run(&mut self, span_ms: u64, with_faults: bool) {
         let end_ms = self.now_ms + span_ms;
         while self.now_ms < end_ms {
             self.now_ms += 1;
-            if disturbed {
-                self.disturb();
+            if with_faults {
+                self.inject_faults();
             }
             self.step_agents();
             if self.now_ms >= self.paused_until_ms {
@@ -126,36 +126,36 @@
 
     fn step_entry(&mut self) {
         if self.now_ms.is_multiple_of(TICK_MS) {
-            self.event(EntryEvent::Tick);
+            self.handle_event(EntryEvent::Tick);
         }
-        while let Some(parcel) = self.due(|parcel| matches!(parcel, Parcel::ToEntry(_))) {
-            if let Parcel::ToEntry(event) = parcel {
-                self.event(event);
+        while let Some(packet) = self.take_due(|packet| matches!(packet, Packet::ToEntry(_))) {
+            if let Packet::ToEntry(event) = packet {
+                self.handle_event(event);
             }
         }
     }
 
     fn deliver_to_agents(&mut self) {
-        while let Some(parcel) = self.due(|parcel| matches!(parcel, Parcel::ToAgent { .. })) {
-            if let Parcel::ToAgent { agent, incarnation, link, message } = parcel
+        while let Some(packet) = self.take_due(|packet| matches!(packet, Packet::ToAgent { .. })) {
+            if let Packet::ToAgent { agent, incarnation, link, message } = packet
                 && self.agents[agent].incarnation == incarnation
             {
                 let now_ms = self.now_ms;
                 let replies = self.agents[agent].receive(now_ms, &mut self.random, link, message);
                 for reply in replies {
-                    self.post_to_entry(link, reply);
+                    self.send_to_entry(link, reply);
                 }
             }
         }
     }
 
-    /// Takes the earliest parcel that is due.
-    fn due(&mut self, wanted: impl Fn(&Parcel) -> bool) -> Option<Parcel> {
+    /// Removes and returns the earliest matching packet that is due.
+    fn take_due(&mut self, wanted: impl Fn(&Packet) -> bool) -> Option<Packet> {
         let now_ms = self.now_ms;
-        let due = self.parcels.iter().enumerate();
+        let due = self.packets.iter().enumerate();
         let due = due.filter(|(_, (Reverse((at_ms, _)), p))| *at_ms <= now_ms && wanted(p));
         let (index, _) = due.max_by_key(|(_, (order, _))| *order)?;
-        Some(self.parcels.swap_remove(index).1)
+        Some(self.packets.swap_remove(index).1)
     }
 
     fn step_agents(&mut self) {
@@ -165,51 +165,52 @@
                 *self.executions.entry(attempt.request).or_insert(0) += 1;
             }
             for (link, message) in sent {
-                self.post_to_entry(link, message);
+                self.send_to_entry(link, message);
             }
         }
     }
 
-    fn post(&mut self, parcel: Parcel) {
-        let slow_ms = if self.chance(SLOW) { self.random.random_range(50..400) } else { 0 };
+    fn send_packet(&mut self, packet: Packet) {
+        let slow_ms =
+            if self.chance(MESSAGE_DELAY) { self.random.random_range(50..400) } else { 0 };
         let at_ms = self.now_ms + self.random.random_range(1..6) + slow_ms;
         self.sequence += 1;
-        self.parcels.push((Reverse((at_ms, self.sequence)), parcel));
+        self.packets.push((Reverse((at_ms, self.sequence)), packet));
     }
 
-    fn post_to_entry(&mut self, link: LinkId, message: ToEntry) {
-        if self.links.get(&link).is_none_or(|link| link.silent) || self.chance(LOST) {
+    fn send_to_entry(&mut self, link: LinkId, message: ToEntry) {
+        if self.links.get(&link).is_none_or(|link| link.silent) || self.chance(MESSAGE_LOSS) {
             return;
         }
-        if self.chance(DOUBLED) {
+        if self.chance(MESSAGE_DUPLICATION) {
             let message = message.clone();
-            self.post(Parcel::ToEntry(EntryEvent::Message { link, message }));
+            self.send_packet(Packet::ToEntry(EntryEvent::Message { link, message }));
         }
-        self.post(Parcel::ToEntry(EntryEvent::Message { link, message }));
+        self.send_packet(Packet::ToEntry(EntryEvent::Message { link, message }));
     }
 
-    fn post_to_agent(&mut self, link: LinkId, message: &ToAgent) {
+    fn send_to_agent(&mut self, link: LinkId, message: &ToAgent) {
         let Some(row) = self.links.get(&link) else { return };
         let (agent, incarnation, silent) = (row.agent, row.incarnation, row.silent);
-        if silent || self.chance(LOST) {
+        if silent || self.chance(MESSAGE_LOSS) {
             return;
         }
-        if self.chance(DOUBLED) {
+        if self.chance(MESSAGE_DUPLICATION) {
             let message = message.clone();
-            self.post(Parcel::ToAgent { agent, incarnation, link, message });
+            self.send_packet(Packet::ToAgent { agent, incarnation, link, message });
         }
-        self.post(Parcel::ToAgent { agent, incarnation, link, message: message.clone() });
+        self.send_packet(Packet::ToAgent { agent, incarnation, link, message: message.clone() });
     }
 
-    fn event(&mut self, event: EntryEvent) {
+    fn handle_event(&mut self, event: EntryEvent) {
         let mut actions = Vec::new();
         self.core.handle(Now::at(self.now_ms), event, &mut actions);
         for action in &actions {
             self.hash(action);
-            if let Some(request) = answered(action) {
-                self.callers.entry(request).or_default().see(action);
+            if let Some(request) = response_target(action) {
+                self.callers.entry(request).or_default().observe(action);
             }
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
@@ -220,13 +221,13 @@
         }
     }
 
-    fn carry_out(&mut self, action: &EntryAction) {
+    fn execute(&mut self, action: &EntryAction) {
         match action {
             EntryAction::OpenLink { link, instance, .. } => self.open(*link, instance),
             EntryAction::CloseLink { link } => {
                 self.links.swap_remove(link);
             }
-            EntryAction::Send { link, message } => self.post_to_agent(*link, message),
+            EntryAction::Send { link, message } => self.send_to_agent(*link, message),
             EntryAction::Drained => self.drained += 1,
             EntryAction::Audit(record) => {
                 if let Change::InvariantViolated { detail } = &record.change {
@@ -242,42 +243,46 @@
         let Some(agent) = BACKENDS.iter().position(|one| *one == name) else { return };
         if self.cut_off_until_ms[agent] > self.now_ms {
             if self.chance(5_000) {
-                self.post(Parcel::ToEntry(EntryEvent::LinkClosed { link }));
+                self.send_packet(Packet::ToEntry(EntryEvent::LinkClosed { link }));
             }
             return;
         }
         let incarnation = self.agents[agent].incarnation;
         self.links.insert(link, Link { agent, incarnation, silent: false });
         let backend_server = BackendServerId::new(name);
-        self.post(Parcel::ToEntry(EntryEvent::LinkOpened { link, backend_server, incarnation }));
+        self.send_packet(Packet::ToEntry(EntryEvent::LinkOpened {
+            link,
+            backend_server,
+            incarnation,
+        }));
     }
 
-    fn disturb(&mut self) {
-        if self.chance(ARRIVAL) {
+    fn inject_faults(&mut self) {
+        if self.chance(REQUEST_ARRIVAL) {
             self.arrive();
         }
-        if self.chance(SILENT) && !self.links.is_empty() {
+        if self.chance(SILENT_LINK) && !self.links.is_empty() {
             let index = self.random.random_range(0..self.links.len());
             self.links[index].silent = true;
         }
-        if self.chance(RESTART) {
+        if self.chance(AGENT_RESTART) {
             self.restart();
         }
-        if self.chance(CUT_OFF) {
+        if self.chance(AGENT_CUT_OFF) {
             let agent = self.random.random_range(0..self.agents.len());
             self.cut_off_until_ms[agent] = self.now_ms + self.random.random_range(100..8_000);
             for link in self.links.values_mut().filter(|link| link.agent == agent) {
                 link.silent = true;
             }
         }
-        if self.chance(PAUSE) {
+        if self.chance(ENTRY_PAUSE) {
             self.paused_until_ms = self.now_ms + self.random.random_range(100..3_000);
         }
-        if self.chance(GONE) && !self.requests.is_empty() {
+        if self.chance(CALLER_DISCONNECT) && !self.requests.is_empty() {
             let index = self.random.random_range(0..self.requests.len());
             let (request, _) = self.requests[index];
-            self.gone.insert(request);
-            self.event(EntryEvent::CallerGone { request });
+            self.disconnected.insert(request);
+            self.handle_event(EntryEvent::CallerGone { request });
         }
     }
 
@@ -295,7 +300,7 @@
         for link in links {
             self.links[&link].silent = true;
             if noticed {
-                self.post(Parcel::ToEntry(EntryEvent::LinkClosed { link }));
+                self.send_packet(Packet::ToEntry(EntryEvent::LinkClosed { link }));
             }
         }
     }
@@ -319,60 +324,62 @@
         };
         self.requests.push((request, idempotent));
         self.callers.entry(request).or_default();
-        self.event(EntryEvent::Arrived(Box::new(arrival)));
+        self.handle_event(EntryEvent::Arrived(Box::new(arrival)));
     }
 
-    /// Everything that does not hold at the end of a run.
-    fn faults(&self) -> Vec<String> {
-        let mut faults = self.violations.clone();
+    /// Returns all violations of the expected outcomes at the end of a run.
+    fn failures(&self) -> Vec<String> {
+        let mut failures = self.violations.clone();
         for (request, idempotent) in &self.requests {
-            faults.extend(self.fault_of(*request, *idempotent));
+            failures.extend(self.failure_of(*request, *idempotent));
         }
         let snapshot = self.core.snapshot(Now::at(self.now_ms));
         if !snapshot.in_flight.is_empty() || self.drained != 1 {
-            faults.push(format!("left {:?}, drained {}", snapshot.in_flight, self.drained));
+            failures.push(format!("left {:?}, drained {}", snapshot.in_flight, self.drained));
         }
-        faults
+        failures
     }
 
-    fn fault_of(&self, request: RequestId, idempotent: bool) -> Option<String> {
+    fn failure_of(&self, request: RequestId, idempotent: bool) -> Option<String> {
         let caller = &self.callers[&request];
         let executions = self.executions.get(&request).copied().unwrap_or(0);
-        let finals_due = usize::from(!self.gone.contains(&request));
-        let told_not_run = caller.refusals.iter().any(|one| one.verdict == Verdict::NotRun);
-        let fault = if caller.finals() < finals_due || caller.finals() > 1 {
-            "not exactly one final answer"
-        } else if caller.after_final > 0 {
-            "something after the final answer"
+        let expected_final_count = usize::from(!self.disconnected.contains(&request));
+        let refused_as_not_run = caller.refusals.iter().any(|one| one.verdict == Verdict::NotRun);
+        let failure = if caller.final_response_count() < expected_final_count
+            || caller.final_response_count() > 1
+        {
+            "not exactly one final response"
+        } else if caller.actions_after_final > 0 {
+            "an action after the final response"
         } else if !idempotent && executions > 1 {
             "a non-idempotent request ran twice"
-        } else if told_not_run && executions > 0 {
-            "it ran although its caller was told that it did not"
-        } else if caller.finished && !is_whole(request, &caller.bytes) {
-            "the answer is not that of one attempt"
+        } else if refused_as_not_run && executions > 0 {
+            "it ran although its caller got the verdict that it did not"
+        } else if caller.finished && !is_complete_response(request, &caller.bytes) {
+            "the response is not that of one attempt"
         } else {
             return None;
         };
-        Some(format!("{request}: {fault}; {executions} executions, {caller:?}"))
+        Some(format!("{request}: {failure}; {executions} executions, {caller:?}"))
     }
 }
 
-fn is_whole(request: RequestId, bytes: &[u8]) -> bool {
-    (0..10).any(|ordinal| whole(AttemptId { request, ordinal }) == bytes)
+fn is_complete_response(request: RequestId, bytes: &[u8]) -> bool {
+    (0..10).any(|ordinal| full_response(AttemptId { request, ordinal }) == bytes)
 }
 
-fn run(seed: u64, mechanisms: Mechanisms) -> World {
-    run_world(World::new(seed, mechanisms))
+fn run(seed: u64, mechanisms: Mechanisms) -> Simulation {
+    run_simulation(Simulation::new(seed, mechanisms))
 }
 
-fn run_world(mut world: World) -> World {
-    world.run(LOAD_MS, true);
-    world.event(EntryEvent::Drain);
-    world.run(SETTLE_MS, false);
-    world
+fn run_simulation(mut simulation: Simulation) -> Simulation {
+    simulation.run(FAULTS_MS, true);
+    simulation.handle_event(EntryEvent::Drain);
+    simulation.run(SETTLE_MS, false);
+    simulation
 }
 
-/// A count that must have moved, so that a run without trouble does not pass for a proof.
+/// A counter that must have increased, so that a run without faults does not pass.
 struct Exercised {
     name: &'static str,
     count: fn(&EntryCounters) -> u64,
@@ -392,31 +399,32 @@
 
 #[gtest]
 fn outcomes_hold_under_random_faults() {
-    let worlds: Vec<World> = (0..SEEDS).map(|seed| run(seed, Mechanisms::ALL)).collect();
-    for (seed, world) in worlds.iter().enumerate() {
-        expect_that!(world.faults(), is_empty(), "seed {seed}");
+    let simulations: Vec<Simulation> = (0..SEEDS).map(|seed| run(seed, Mechanisms::ALL)).collect();
+    for (seed, simulation) in simulations.iter().enumerate() {
+        expect_that!(simulation.failures(), is_empty(), "seed {seed}");
     }
     for exercised in &EXERCISED {
-        let counts = worlds.iter().map(|world| (exercised.count)(&world.core.counters()));
+        let counts =
+            simulations.iter().map(|simulation| (exercised.count)(&simulation.core.counters()));
         expect_that!(counts.sum::<u64>(), gt(SEEDS), "{}", exercised.name);
     }
 }
 
-const ON: Mechanisms = Mechanisms::ALL;
+const ALL: Mechanisms = Mechanisms::ALL;
 
-/// Mechanisms turned off that this run must notice, whatever the agents do.
+/// Sets with one mechanism disabled, which the randomized run must detect.
 const MUTATIONS: [Mechanisms; 5] = [
-    Mechanisms { end_marker_check: false, ..ON },
-    Mechanisms { chunk_order: false, ..ON },
-    Mechanisms { attempt_id_check: false, ..ON },
-    Mechanisms { retry_only_not_run: false, ..ON },
-    Mechanisms { no_retry_after_begin: false, ..ON },
+    Mechanisms { end_marker_check: false, ..ALL },
+    Mechanisms { chunk_order: false, ..ALL },
+    Mechanisms { attempt_id_check: false, ..ALL },
+    Mechanisms { retry_only_not_run: false, ..ALL },
+    Mechanisms { no_retry_after_begin: false, ..ALL },
 ];
 
 #[gtest]
 fn random_faults_find_missing_mechanisms() {
     for mutation in &MUTATIONS {
-        let found = (0..SEEDS).any(|seed| !run(seed, *mutation).faults().is_empty());
+        let found = (0..SEEDS).any(|seed| !run(seed, *mutation).failures().is_empty());
         expect_true!(found, "{mutation:?}");
     }
 }
@@ -424,9 +432,9 @@
 #[gtest]
 fn equal_seeds_give_equal_actions() {
     let digest = || {
-        let mut world = World::new(7, Mechanisms::ALL);
-        world.digest = Some(0);
-        run_world(world).digest
+        let mut simulation = Simulation::new(7, Mechanisms::ALL);
+        simulation.digest = Some(0);
+        run_simulation(simulation).digest
     };
     expect_that!(digest(), eq(digest()));
 }
--- a/crates/core/tests/entry_rules.rs
+++ b/crates/core/tests/entry_rules.rs
@@ -1,9 +1,10 @@
-//! What an entry decides when nothing fails: admission, routes, subsets, links, drain, policies.
+//! Tests the rules of an entry: admission, routes, refusals, links, drain, policies and subsets.
 
 mod entry_support;
 
 use entry_support::{
-    Ask, LODGE, READ, Rig, START_MS, STEP_MS, document, instance, instance_of, load,
+    EntryHarness, IDEMPOTENT, NON_IDEMPOTENT, START_MS, STEP_MS, TestRequest, document, instance,
+    instance_of, load,
 };
 use googletest::prelude::*;
 use hickorycross_config::{BackendServerId, Document, FailureDomainId, TeamId};
@@ -29,103 +30,137 @@
 use std::sync::{Arc, Mutex};
 
 #[gtest]
-fn a_request_reaches_its_backend_server_and_its_answer_the_caller() {
-    let mut rig = Rig::new(Mechanisms::ALL);
-    let request = rig.ask(LODGE);
-    let (link, submit) = rig.submission(request).expect("it was submitted");
-    rig.accept(link, submit.attempt);
-    rig.head(link, submit.attempt);
-    rig.chunk(link, submit.attempt, 0, "whole");
-    rig.end(link, submit.attempt, 1, 5);
-    expect_that!(rig.expect_answer(request, "whole"), ok(eq(&())));
-    expect_that!(submit.agent, eq(entry_support::FIRST_LIFE));
+fn a_request_is_submitted_and_its_response_returned() {
+    let mut harness = EntryHarness::new(Mechanisms::ALL);
+    let request = harness.send_request(NON_IDEMPOTENT);
+    let (link, submit) = harness.latest_submission(request).expect("it was submitted");
+    harness.accept(link, submit.attempt);
+    harness.head(link, submit.attempt);
+    harness.chunk(link, submit.attempt, 0, "whole");
+    harness.end(link, submit.attempt, 1, 5);
+    expect_that!(harness.expect_response(request, "whole"), ok(eq(&())));
+    expect_that!(submit.agent, eq(entry_support::FIRST_INCARNATION));
 }
 
-struct Refused {
-    prepare: fn() -> Rig,
-    ask: Ask,
+struct RefusedCase {
+    prepare: fn() -> EntryHarness,
+    test_request: TestRequest,
     code: RefusalCode,
     retry: bool,
 }
 
-fn whole_rig() -> Rig {
-    Rig::new(Mechanisms::ALL)
+fn configured() -> EntryHarness {
+    EntryHarness::new(Mechanisms::ALL)
 }
 
-fn draining() -> Rig {
-    let mut rig = whole_rig();
-    rig.event(EntryEvent::Drain);
-    rig
+fn draining_entry() -> EntryHarness {
+    let mut harness = configured();
+    harness.handle_event(EntryEvent::Drain);
+    harness
 }
 
-fn limited() -> Rig {
+fn limited_entry() -> EntryHarness {
     let policies =
-        EntryPolicies { limits: Box::<SpyLimits>::default(), ..EntryPolicies::baseline() };
-    Rig::with(Mechanisms::ALL, policies, document(), &["s-1"])
+        EntryPolicies { limits: Box::<RecordingLimiter>::default(), ..EntryPolicies::baseline() };
+    EntryHarness::with_policies(Mechanisms::ALL, policies, document(), &["s-1"])
 }
 
-fn bare() -> Rig {
-    Rig::bare(Mechanisms::ALL, EntryPolicies::baseline())
+fn unconfigured_entry() -> EntryHarness {
+    EntryHarness::unconfigured(Mechanisms::ALL, EntryPolicies::baseline())
 }
 
-fn deserted() -> Rig {
-    Rig::of(Mechanisms::ALL, &[])
+fn without_agents() -> EntryHarness {
+    EntryHarness::with_agents(Mechanisms::ALL, &[])
 }
 
-const WRONG_KEY: Ask = Ask { api_key: "wrong", ..LODGE };
-const WRONG_PATH: Ask = Ask { path: "/other", ..LODGE };
-const WRONG_MODEL: Ask = Ask { model: Some("other"), ..LODGE };
-const TOO_LATE: Ask = Ask { deadline_ms: Some(0), ..LODGE };
-const KEYED: Ask = Ask { key: Some("k"), ..LODGE };
-
-const REFUSED: [Refused; 9] = [
-    Refused { prepare: bare, ask: LODGE, code: NotReady, retry: true },
-    Refused { prepare: draining, ask: LODGE, code: NotReady, retry: true },
-    Refused { prepare: whole_rig, ask: WRONG_KEY, code: UnknownKey, retry: false },
-    Refused { prepare: whole_rig, ask: WRONG_PATH, code: UnknownPath, retry: false },
-    Refused { prepare: whole_rig, ask: WRONG_MODEL, code: UnknownModel, retry: false },
-    Refused { prepare: whole_rig, ask: TOO_LATE, code: DeadlinePassed, retry: false },
-    Refused { prepare: limited, ask: LODGE, code: TeamLimit, retry: true },
-    Refused { prepare: deserted, ask: LODGE, code: NoBackend, retry: true },
-    Refused { prepare: deserted, ask: KEYED, code: NoBackend, retry: true },
+const WRONG_KEY: TestRequest = TestRequest { api_key: "wrong", ..NON_IDEMPOTENT };
+const WRONG_PATH: TestRequest = TestRequest { path: "/other", ..NON_IDEMPOTENT };
+const WRONG_MODEL: TestRequest = TestRequest { model: Some("other"), ..NON_IDEMPOTENT };
+const EXPIRED: TestRequest = TestRequest { deadline_ms: Some(0), ..NON_IDEMPOTENT };
+const KEYED: TestRequest = TestRequest { key: Some("k"), ..NON_IDEMPOTENT };
+
+const REFUSED_CASES: [RefusedCase; 9] = [
+    RefusedCase {
+        prepare: unconfigured_entry,
+        test_request: NON_IDEMPOTENT,
+        code: NotReady,
+        retry: true,
+    },
+    RefusedCase {
+        prepare: draining_entry,
+        test_request: NON_IDEMPOTENT,
+        code: NotReady,
+        retry: true,
+    },
+    RefusedCase { prepare: configured, test_request: WRONG_KEY, code: UnknownKey, retry: false },
+    RefusedCase { prepare: configured, test_request: WRONG_PATH, code: UnknownPath, retry: false },
+    RefusedCase {
+        prepare: configured,
+        test_request: WRONG_MODEL,
+        code: UnknownModel,
+        retry: false,
+    },
+    RefusedCase { prepare: configured, test_request: EXPIRED, code: DeadlinePassed, retry: false },
+    RefusedCase {
+        prepare: limited_entry,
+        test_request: NON_IDEMPOTENT,
+        code: TeamLimit,
+        retry: true,
+    },
+    RefusedCase {
+        prepare: without_agents,
+        test_request: NON_IDEMPOTENT,
+        code: NoBackend,
+        retry: true,
+    },
+    RefusedCase { prepare: without_agents, test_request: KEYED, code: NoBackend, retry: true },
 ];
 
 #[gtest]
-fn refusals_at_the_door_are_final_and_not_run() {
-    for case in &REFUSED {
-        let mut rig = (case.prepare)();
-        let request = rig.ask(case.ask);
-        let seen = rig.expect_refusal(request, case.code, Verdict::NotRun);
+fn requests_refused_before_submission_have_not_run() {
+    for case in &REFUSED_CASES {
+        let mut harness = (case.prepare)();
+        let request = harness.send_request(case.test_request);
+        let seen = harness.expect_refusal(request, case.code, Verdict::NotRun);
         expect_that!(seen, ok(eq(&())), "{:?}", case.code);
-        let retry_at = rig.callers[&request].refusals[0].retry_at;
+        let retry_at = harness.callers[&request].refusals[0].retry_at;
         expect_that!(retry_at.is_some(), eq(case.retry), "{:?}", case.code);
     }
 }
 
-struct Routed {
-    ask: Ask,
+struct RoutedCase {
+    test_request: TestRequest,
     route: &'static str,
     idempotent: bool,
     deadline_ms: u64,
 }
 
-const ROUTED: [Routed; 5] = [
-    Routed { ask: LODGE, route: "lodge", idempotent: false, deadline_ms: 20_000 },
-    Routed { ask: READ, route: "read", idempotent: true, deadline_ms: 20_000 },
-    Routed {
-        ask: Ask { path: "/read/review/1", deadline_ms: Some(900_000), ..LODGE },
+const ROUTED_CASES: [RoutedCase; 5] = [
+    RoutedCase {
+        test_request: NON_IDEMPOTENT,
+        route: "lodge",
+        idempotent: false,
+        deadline_ms: 20_000,
+    },
+    RoutedCase { test_request: IDEMPOTENT, route: "read", idempotent: true, deadline_ms: 20_000 },
+    RoutedCase {
+        test_request: TestRequest {
+            path: "/read/review/1",
+            deadline_ms: Some(900_000),
+            ..NON_IDEMPOTENT
+        },
         route: "review",
         idempotent: false,
         deadline_ms: 60_000,
     },
-    Routed {
-        ask: Ask { non_idempotent: true, deadline_ms: Some(5), ..READ },
+    RoutedCase {
+        test_request: TestRequest { non_idempotent: true, deadline_ms: Some(5), ..IDEMPOTENT },
         route: "read",
         idempotent: false,
         deadline_ms: 5,
     },
-    Routed {
-        ask: Ask { model: Some("reviewer"), ..LODGE },
+    RoutedCase {
+        test_request: TestRequest { model: Some("reviewer"), ..NON_IDEMPOTENT },
         route: "model",
         idempotent: true,
         deadline_ms: 20_000,
@@ -133,49 +168,52 @@
 ];
 
 #[gtest]
-fn submissions_carry_route_mark_and_deadline() {
-    for case in &ROUTED {
-        let mut rig = whole_rig();
-        let request = rig.ask(case.ask);
-        let (_, submit) = rig.submission(request).expect("it was submitted");
+fn submissions_carry_route_idempotency_and_deadline() {
+    for case in &ROUTED_CASES {
+        let mut harness = configured();
+        let request = harness.send_request(case.test_request);
+        let (_, submit) = harness.latest_submission(request).expect("it was submitted");
         expect_that!(submit.route.as_str(), eq(case.route));
         expect_that!(submit.idempotent, eq(case.idempotent), "{}", case.route);
         expect_that!(submit.deadline, eq(UnixMs(START_MS + case.deadline_ms)), "{}", case.route);
     }
 }
 
-struct AgentRefused {
+struct AgentRefusedCase {
     reason: RefusalReason,
-    /// The final answer, unless the request is tried again.
+    /// Code and verdict of the final refusal, or `None` if the request is retried.
     last: Option<(RefusalCode, Verdict)>,
 }
 
-const AGENT_REFUSED: [AgentRefused; 9] = [
-    AgentRefused { reason: QueueFull, last: None },
-    AgentRefused { reason: Leaving, last: None },
-    AgentRefused { reason: Revoked, last: None },
-    AgentRefused { reason: NotKeyHome, last: None },
-    AgentRefused { reason: BackendDown, last: None },
-    AgentRefused { reason: UnknownRoute, last: None },
-    AgentRefused { reason: Expired, last: Some((DeadlinePassed, Verdict::NotRun)) },
-    AgentRefused { reason: KeyConflict, last: Some((RefusalCode::KeyConflict, Verdict::NotRun)) },
-    AgentRefused { reason: WrongIncarnation, last: Some((Interrupted, Verdict::MayHaveRun)) },
+const AGENT_REFUSED_CASES: [AgentRefusedCase; 9] = [
+    AgentRefusedCase { reason: QueueFull, last: None },
+    AgentRefusedCase { reason: Leaving, last: None },
+    AgentRefusedCase { reason: Revoked, last: None },
+    AgentRefusedCase { reason: NotKeyHome, last: None },
+    AgentRefusedCase { reason: BackendDown, last: None },
+    AgentRefusedCase { reason: UnknownRoute, last: None },
+    AgentRefusedCase { reason: Expired, last: Some((DeadlinePassed, Verdict::NotRun)) },
+    AgentRefusedCase {
+        reason: KeyConflict,
+        last: Some((RefusalCode::KeyConflict, Verdict::NotRun)),
+    },
+    AgentRefusedCase { reason: WrongIncarnation, last: Some((Interrupted, Verdict::MayHaveRun)) },
 ];
 
 #[gtest]
-fn refusals_of_agents_are_tried_elsewhere_or_final() {
-    for case in &AGENT_REFUSED {
-        let mut rig = whole_rig();
-        let request = rig.ask(LODGE);
-        let (link, submit) = rig.submission(request).expect("it was submitted");
-        let load = load(rig.now_ms, AgentState::Serving);
+fn agent_refusals_are_retried_elsewhere_or_final() {
+    for case in &AGENT_REFUSED_CASES {
+        let mut harness = configured();
+        let request = harness.send_request(NON_IDEMPOTENT);
+        let (link, submit) = harness.latest_submission(request).expect("it was submitted");
+        let load = load(harness.now_ms, AgentState::Serving);
         let (attempt, reason) = (submit.attempt, case.reason);
-        rig.say(link, ToEntry::Refused { attempt, reason, retry_at: None, load });
-        rig.wait(STEP_MS);
-        let submissions = rig.submissions(request);
+        harness.deliver(link, ToEntry::Refused { attempt, reason, retry_at: None, load });
+        harness.advance(STEP_MS);
+        let submissions = harness.submissions(request);
         expect_that!(submissions.len(), eq(if case.last.is_none() { 2 } else { 1 }), "{reason:?}");
         if let Some((code, verdict)) = case.last {
-            expect_that!(rig.expect_refusal(request, code, verdict), ok(eq(&())), "{reason:?}");
+            expect_that!(harness.expect_refusal(request, code, verdict), ok(eq(&())), "{reason:?}");
         } else {
             let again = submissions.last().map(|(link, _)| *link);
             expect_that!(again, not(some(eq(link))), "{reason:?}");
@@ -183,113 +221,110 @@
     }
 }
 
-/// Symptom: a caller gets two answers.
-/// Sequence: the HTTP side hands in a request under a number that it used before.
-/// Cause: a bug there; the entry must not run the second one under the first one's name.
+/// The HTTP server hands in a request under an identifier that it used before, which is a bug
+/// there. The second request must not run under the identifier of the first, whose caller would get
+/// two responses.
 #[gtest]
-fn a_number_used_twice_is_a_violation() {
-    let mut rig = whole_rig();
-    let request = rig.ask(LODGE);
-    rig.next_request = request.sequence;
-    rig.ask(LODGE);
-    expect_that!(rig.submissions(request).len(), eq(1));
-    expect_that!(rig.violations().len(), eq(1));
-    expect_that!(rig.callers[&request].finals(), eq(0));
+fn a_reused_request_id_is_a_violation() {
+    let mut harness = configured();
+    let request = harness.send_request(NON_IDEMPOTENT);
+    harness.next_request = request.sequence;
+    harness.send_request(NON_IDEMPOTENT);
+    expect_that!(harness.submissions(request).len(), eq(1));
+    expect_that!(harness.violations().len(), eq(1));
+    expect_that!(harness.callers[&request].final_response_count(), eq(0));
 }
 
 #[gtest]
-fn a_used_key_is_answered_with_what_is_known() {
-    let mut rig = whole_rig();
-    let request = rig.ask(Ask { key: Some("k"), ..READ });
-    let (link, submit) = rig.submission(request).expect("it was submitted");
+fn a_used_key_is_refused_with_the_known_verdict() {
+    let mut harness = configured();
+    let request = harness.send_request(TestRequest { key: Some("k"), ..IDEMPOTENT });
+    let (link, submit) = harness.latest_submission(request).expect("it was submitted");
     let (attempt, verdict) = (submit.attempt, Verdict::Ran);
-    rig.say(link, ToEntry::KeyUsed { attempt, earlier: None, verdict });
-    expect_that!(rig.expect_refusal(request, KeyUsed, verdict), ok(eq(&())));
+    harness.deliver(link, ToEntry::KeyUsed { attempt, earlier: None, verdict });
+    expect_that!(harness.expect_refusal(request, KeyUsed, verdict), ok(eq(&())));
 }
 
-/// Symptom: a planned stop cuts answers.
-/// Sequence: the process is told to stop while an answer runs.
-/// Cause: nothing else would make it wait.
+/// The process is told to stop while a response is being sent. It must report the drain as complete
+/// only after that response, or a planned stop would truncate it.
 #[gtest]
-fn drain_ends_after_the_last_answer() {
-    let mut rig = whole_rig();
-    let request = rig.ask(LODGE);
-    let (link, submit) = rig.submission(request).expect("it was submitted");
-    let drained = |rig: &Rig| rig.log.iter().filter(|a| **a == EntryAction::Drained).count();
-    rig.event(EntryEvent::Drain);
-    rig.event(EntryEvent::Drain);
-    expect_that!(drained(&rig), eq(0));
-    rig.head(link, submit.attempt);
-    rig.end(link, submit.attempt, 0, 0);
-    rig.wait(100);
-    expect_that!(rig.expect_answer(request, ""), ok(eq(&())));
-    expect_that!(drained(&rig), eq(1));
+fn drain_ends_after_the_last_response() {
+    let mut harness = configured();
+    let request = harness.send_request(NON_IDEMPOTENT);
+    let (link, submit) = harness.latest_submission(request).expect("it was submitted");
+    let drained =
+        |harness: &EntryHarness| harness.log.iter().filter(|a| **a == EntryAction::Drained).count();
+    harness.handle_event(EntryEvent::Drain);
+    harness.handle_event(EntryEvent::Drain);
+    expect_that!(drained(&harness), eq(0));
+    harness.head(link, submit.attempt);
+    harness.end(link, submit.attempt, 0, 0);
+    harness.advance(100);
+    expect_that!(harness.expect_response(request, ""), ok(eq(&())));
+    expect_that!(drained(&harness), eq(1));
 }
 
-/// Symptom: requests fail at an instance that is being replaced, or its last answers are cut.
-/// Sequence: the list names a successor while the predecessor still answers.
-/// Cause: one backend server has two instances for a while.
+/// While an instance is replaced, one backend server has two instances. New attempts must go to the
+/// successor, and the predecessor must be able to finish its last responses.
 #[gtest]
-fn a_successor_gets_new_work_while_the_predecessor_finishes() {
-    let mut rig = Rig::of(Mechanisms::ALL, &["s-1"]);
-    let first = rig.ask(LODGE);
-    let (old, submit) = rig.submission(first).expect("it was submitted");
+fn a_successor_gets_new_attempts_while_the_predecessor_finishes() {
+    let mut harness = EntryHarness::with_agents(Mechanisms::ALL, &["s-1"]);
+    let first = harness.send_request(NON_IDEMPOTENT);
+    let (old, submit) = harness.latest_submission(first).expect("it was submitted");
     let mut successor = instance("s-1", InstanceState::Live);
     successor.id = InstanceId::new("i-s-1-next");
-    rig.hosts.insert(successor.id.clone(), BackendServerId::new("s-1"));
+    harness.hosted_servers.insert(successor.id.clone(), BackendServerId::new("s-1"));
     let leaving = instance("s-1", InstanceState::Leaving);
-    rig.event(EntryEvent::Instances(vec![leaving, successor.clone()]));
-    let second = rig.ask(LODGE);
-    let (fresh, _) = rig.submission(second).expect("it was submitted");
-    expect_that!(rig.links[&fresh], eq(&successor.id));
-    rig.head(old, submit.attempt);
-    rig.end(old, submit.attempt, 0, 0);
-    expect_that!(rig.expect_answer(first, ""), ok(eq(&())));
-    rig.wait(STEP_MS);
-    expect_true!(rig.log.contains(&EntryAction::CloseLink { link: old }));
+    harness.handle_event(EntryEvent::Instances(vec![leaving, successor.clone()]));
+    let second = harness.send_request(NON_IDEMPOTENT);
+    let (fresh, _) = harness.latest_submission(second).expect("it was submitted");
+    expect_that!(harness.links[&fresh], eq(&successor.id));
+    harness.head(old, submit.attempt);
+    harness.end(old, submit.attempt, 0, 0);
+    expect_that!(harness.expect_response(first, ""), ok(eq(&())));
+    harness.advance(STEP_MS);
+    expect_true!(harness.log.contains(&EntryAction::CloseLink { link: old }));
 }
 
-/// Symptom: requests reach a backend server that was not chosen.
-/// Sequence: an instance hosts another backend server than the list says.
-/// Cause: the list lags.
+/// An outdated instance list names an instance that hosts another backend server by now. Requests
+/// must not reach a backend server that was not chosen.
 #[gtest]
 fn a_link_to_another_backend_server_is_not_used() {
-    let mut rig = Rig::of(Mechanisms::ALL, &["s-1"]);
-    rig.hosts.insert(instance_of("s-1"), BackendServerId::new("s-2"));
-    let request = rig.ask(LODGE);
-    expect_that!(rig.submissions(request), is_empty());
-    expect_true!(rig.log.contains(&EntryAction::CloseLink { link: LinkId(0) }));
+    let mut harness = EntryHarness::with_agents(Mechanisms::ALL, &["s-1"]);
+    harness.hosted_servers.insert(instance_of("s-1"), BackendServerId::new("s-2"));
+    let request = harness.send_request(NON_IDEMPOTENT);
+    expect_that!(harness.submissions(request), is_empty());
+    expect_true!(harness.log.contains(&EntryAction::CloseLink { link: LinkId(0) }));
 }
 
 #[gtest]
 fn a_request_waits_briefly_for_a_link() {
-    let mut rig = Rig::of(Mechanisms::ALL, &["s-1"]);
-    rig.unreachable.insert(instance_of("s-1"));
-    let request = rig.ask(LODGE);
-    rig.wait(1_000);
-    expect_that!(rig.callers[&request].finals(), eq(0));
-    rig.wait(2_000);
-    let seen = rig.expect_refusal(request, NoBackend, Verdict::NotRun);
+    let mut harness = EntryHarness::with_agents(Mechanisms::ALL, &["s-1"]);
+    harness.unreachable.insert(instance_of("s-1"));
+    let request = harness.send_request(NON_IDEMPOTENT);
+    harness.advance(1_000);
+    expect_that!(harness.callers[&request].final_response_count(), eq(0));
+    harness.advance(2_000);
+    let seen = harness.expect_refusal(request, NoBackend, Verdict::NotRun);
     expect_that!(seen, ok(eq(&())));
 }
 
-/// Symptom: a backend server that does not answer keeps its share of requests.
-/// Sequence: its agent reports it as down, later as up.
-/// Cause: links and agent are fine; only the report shows it.
+/// An agent reports its backend server as down, and later as up. Links and agent work throughout,
+/// so that only these reports show that the backend server must not get requests.
 #[gtest]
-fn circuits_follow_reports_and_are_audited() {
-    let mut rig = Rig::of(Mechanisms::ALL, &["s-1", "s-2"]);
-    let request = rig.ask(LODGE);
-    let (down, submit) = rig.submission(request).expect("it was submitted");
-    let report = load(rig.now_ms + 1, AgentState::BackendDown);
-    rig.say(down, ToEntry::Accepted { attempt: submit.attempt, load: report });
+fn circuits_follow_agent_reports_and_are_audited() {
+    let mut harness = EntryHarness::with_agents(Mechanisms::ALL, &["s-1", "s-2"]);
+    let request = harness.send_request(NON_IDEMPOTENT);
+    let (down, submit) = harness.latest_submission(request).expect("it was submitted");
+    let report = load(harness.now_ms + 1, AgentState::BackendDown);
+    harness.deliver(down, ToEntry::Accepted { attempt: submit.attempt, load: report });
     for _ in 0..4 {
-        let request = rig.ask(LODGE);
-        let (link, _) = rig.submission(request).expect("it was submitted");
+        let request = harness.send_request(NON_IDEMPOTENT);
+        let (link, _) = harness.latest_submission(request).expect("it was submitted");
         expect_that!(link, not(eq(down)));
     }
-    rig.wait(3_000);
-    let changes = rig.log.iter().filter_map(|action| match action {
+    harness.advance(3_000);
+    let changes = harness.log.iter().filter_map(|action| match action {
         EntryAction::Audit(record) => Some(&record.change),
         _ => None,
     });
@@ -299,16 +334,16 @@
 }
 
 #[gtest]
-fn acknowledgements_stay_behind_until_the_answer_is_whole() {
-    let mut rig = whole_rig();
-    let request = rig.ask(LODGE);
-    let (link, submit) = rig.submission(request).expect("it was submitted");
-    rig.head(link, submit.attempt);
+fn acknowledgements_stay_one_chunk_behind_until_the_response_is_complete() {
+    let mut harness = configured();
+    let request = harness.send_request(NON_IDEMPOTENT);
+    let (link, submit) = harness.latest_submission(request).expect("it was submitted");
+    harness.head(link, submit.attempt);
     for index in 0..40 {
-        rig.chunk(link, submit.attempt, index, "x");
+        harness.chunk(link, submit.attempt, index, "x");
     }
-    rig.end(link, submit.attempt, 40, 40);
-    let received = rig.sent().filter_map(|(_, message)| match message {
+    harness.end(link, submit.attempt, 40, 40);
+    let received = harness.sent().filter_map(|(_, message)| match message {
         ToAgent::Received { next_chunk, .. } => Some(*next_chunk),
         _ => None,
     });
@@ -316,38 +351,41 @@
 }
 
 #[gtest]
-fn idle_links_cost_little_and_are_closed() {
-    let mut rig = Rig::of(Mechanisms::ALL, &["s-1"]);
-    let request = rig.ask(LODGE);
-    let (link, submit) = rig.submission(request).expect("it was submitted");
-    rig.head(link, submit.attempt);
-    rig.end(link, submit.attempt, 0, 0);
-    rig.wait(100_000);
-    let heartbeats = rig.core.counters().heartbeats_sent;
+fn idle_links_get_few_heartbeats_and_are_closed() {
+    let mut harness = EntryHarness::with_agents(Mechanisms::ALL, &["s-1"]);
+    let request = harness.send_request(NON_IDEMPOTENT);
+    let (link, submit) = harness.latest_submission(request).expect("it was submitted");
+    harness.head(link, submit.attempt);
+    harness.end(link, submit.attempt, 0, 0);
+    harness.advance(100_000);
+    let heartbeats = harness.core.counters().heartbeats_sent;
     expect_that!(heartbeats, all![ge(9), le(11)]);
-    expect_that!(rig.core.snapshot(Now::at(rig.now_ms)).links[0].usage, eq(LinkUsage::Active));
-    rig.wait(25_000);
-    expect_that!(rig.core.snapshot(Now::at(rig.now_ms)).links, is_empty());
+    expect_that!(
+        harness.core.snapshot(Now::at(harness.now_ms)).links[0].usage,
+        eq(LinkUsage::Active)
+    );
+    harness.advance(25_000);
+    expect_that!(harness.core.snapshot(Now::at(harness.now_ms)).links, is_empty());
 }
 
-/// Limits that refuse everything and record what they are told.
+/// A limiter that refuses all requests unless `open`, and records its calls.
 #[derive(Clone, Default)]
-struct SpyLimits {
+struct RecordingLimiter {
     seen: Arc<Mutex<Vec<String>>>,
     open: bool,
 }
 
-impl SpyLimits {
-    fn note(&self, text: String) {
+impl RecordingLimiter {
+    fn record(&self, text: String) {
         self.seen.lock().expect("no other thread failed").push(text);
     }
 }
 
-impl TeamLimiter for SpyLimits {
+impl TeamLimiter for RecordingLimiter {
     fn adopt(&mut self, _now: Now, _document: &Document) {}
 
     fn set_entry_count(&mut self, _now: Now, entries: u32) {
-        self.note(format!("entries {entries}"));
+        self.record(format!("entries {entries}"));
     }
 
     fn admit(&mut self, now: Now, _team: &TeamId) -> Admission {
@@ -360,21 +398,22 @@
     }
 
     fn receive_totals(&mut self, _now: Now, from: &BackendServerId, totals: &[TeamTotal]) {
-        self.note(format!("totals from {from}: {}", totals.len()));
+        self.record(format!("totals from {from}: {}", totals.len()));
     }
 }
 
 #[gtest]
-fn demand_is_reported_and_totals_are_learnt() {
-    let spy = SpyLimits { open: true, ..SpyLimits::default() };
-    let policies = EntryPolicies { limits: Box::new(spy.clone()), ..EntryPolicies::baseline() };
-    let mut rig = Rig::with(Mechanisms::ALL, policies, document(), &["s-1", "s-2"]);
-    rig.wait(STEP_MS);
-    let link = rig.last_sent(|message| matches!(message, ToAgent::Demand(_)));
+fn demand_is_reported_and_totals_reach_the_limiter() {
+    let limiter = RecordingLimiter { open: true, ..RecordingLimiter::default() };
+    let policies = EntryPolicies { limits: Box::new(limiter.clone()), ..EntryPolicies::baseline() };
+    let mut harness =
+        EntryHarness::with_policies(Mechanisms::ALL, policies, document(), &["s-1", "s-2"]);
+    harness.advance(STEP_MS);
+    let link = harness.last_sent(|message| matches!(message, ToAgent::Demand(_)));
     let link = link.expect("demand was reported");
-    expect_that!(rig.links[&link], eq(&instance_of("s-2")));
-    rig.say(link, ToEntry::Totals(vec![]));
-    let seen = spy.seen.lock().expect("no other thread failed").clone();
+    expect_that!(harness.links[&link], eq(&instance_of("s-2")));
+    harness.deliver(link, ToEntry::Totals(vec![]));
+    let seen = limiter.seen.lock().expect("no other thread failed").clone();
     expect_that!(seen, elements_are![eq("entries 0"), eq("totals from s-2: 0")]);
 }
 
@@ -382,7 +421,7 @@
 const AGENTS: usize = 900;
 const DOMAINS: usize = 7;
 
-/// A document with one route over all agents of the size to design for.
+/// Returns a document with one route to the agents of a fleet of the maximum designed size.
 fn large_document() -> Document {
     let mut large = document();
     let (server, domain) = (large.backend_servers[0].clone(), large.failure_domains[0].clone());
@@ -409,9 +448,8 @@
     large
 }
 
-/// Symptom: some agents get many times the entries of others, or one failure domain gets all.
-/// Sequence: 400 entries choose their subsets of 900 agents, each by itself.
-/// Cause: independent choices cluster unless they are hashed evenly.
+/// 400 entries choose their subsets of 900 agents independently. Unless the choice is hashed
+/// evenly, some agents get many times the entries of others, or one failure domain gets them all.
 #[gtest]
 fn subsets_spread_over_agents_and_failure_domains() {
     let document = Arc::new(large_document());
@@ -437,7 +475,7 @@
     expect_that!(entries_of.len(), ge(AGENTS * 9 / 10));
 }
 
-/// The instances to which an entry opens links for a burst of requests.
+/// Returns the instances to which an entry opens links for a burst of requests.
 fn opened_links(
     entry: u64,
     document: &Arc<Document>,
@@ -446,38 +484,37 @@
     let failure_domain = document.failure_domains[entry as usize % DOMAINS].id.clone();
     let incarnation = Incarnation(entry * 0x9e37_79b9 + 1);
     let identity = EntryIdentity { incarnation, failure_domain };
-    let mut rig = Rig::bare(Mechanisms::ALL, EntryPolicies::baseline());
-    rig.core = EntryCore::new(identity, EntryPolicies::baseline(), 1);
-    rig.adopt(document.as_ref().clone());
-    rig.event(EntryEvent::Instances(list.to_vec()));
+    let mut harness = EntryHarness::unconfigured(Mechanisms::ALL, EntryPolicies::baseline());
+    harness.core = EntryCore::new(identity, EntryPolicies::baseline(), 1);
+    harness.adopt(document.as_ref().clone());
+    harness.handle_event(EntryEvent::Instances(list.to_vec()));
     for _ in 0..9 {
-        rig.ask(LODGE);
+        harness.send_request(NON_IDEMPOTENT);
     }
-    let links: Vec<LinkId> = rig.links.keys().copied().collect();
-    links.iter().map(|link| rig.links[link].clone()).collect()
+    let links: Vec<LinkId> = harness.links.keys().copied().collect();
+    links.iter().map(|link| harness.links[link].clone()).collect()
 }
 
-/// Symptom: a backend server gets no work after its agent's upgrade.
-/// Sequence: the agent says that it leaves, finishes and ends; another incarnation starts on the
-/// same instance, which the list has named as live all the while.
-/// Cause: nothing is sent to an agent that leaves, so that no link finds its successor.
+/// During an upgrade an agent reports leaving and ends, and another incarnation starts on the same
+/// instance, which the list names as live throughout. Nothing is sent to a leaving agent, so that
+/// no request would open a link to its successor.
 #[gtest]
-fn an_agent_restarted_in_place_gets_work_again() {
-    let mut rig = Rig::of(Mechanisms::ALL, &["s-1"]);
-    let first = rig.ask(LODGE);
-    let (old, submit) = rig.submission(first).expect("it was submitted");
-    rig.head(old, submit.attempt);
-    rig.end(old, submit.attempt, 0, 0);
-    rig.say(old, ToEntry::Leaving);
-    let instance = rig.links[&old].clone();
-    rig.unreachable.insert(instance.clone());
-    rig.event(EntryEvent::LinkClosed { link: old });
-    rig.wait(3_000);
-    rig.unreachable.swap_remove(&instance);
-    rig.lives.insert(instance, Incarnation(200));
-    rig.wait(10_000);
-    let second = rig.ask(LODGE);
-    let (link, again) = rig.submission(second).expect("it was submitted");
+fn an_agent_restarted_in_place_gets_attempts_again() {
+    let mut harness = EntryHarness::with_agents(Mechanisms::ALL, &["s-1"]);
+    let first = harness.send_request(NON_IDEMPOTENT);
+    let (old, submit) = harness.latest_submission(first).expect("it was submitted");
+    harness.head(old, submit.attempt);
+    harness.end(old, submit.attempt, 0, 0);
+    harness.deliver(old, ToEntry::Leaving);
+    let instance = harness.links[&old].clone();
+    harness.unreachable.insert(instance.clone());
+    harness.handle_event(EntryEvent::LinkClosed { link: old });
+    harness.advance(3_000);
+    harness.unreachable.swap_remove(&instance);
+    harness.incarnations.insert(instance, Incarnation(200));
+    harness.advance(10_000);
+    let second = harness.send_request(NON_IDEMPOTENT);
+    let (link, again) = harness.latest_submission(second).expect("it was submitted");
     expect_that!(link, not(eq(old)));
     expect_that!(again.agent, eq(Incarnation(200)));
 }
--- a/crates/core/tests/entry_support/fake_agent.rs
+++ b/crates/core/tests/entry_support/fake_agent.rs
@@ -1,4 +1,5 @@
-//! A tiny agent: queues, runs and streams made-up answers, and keeps what it promised.
+//! A simulated agent that queues and runs attempts and streams generated responses, according to
+//! the protocol.
 
 use super::load;
 use bytes::Bytes;
@@ -10,31 +11,31 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// How long an attempt is queued at most.
-const QUEUE_MS: u64 = 150;
+/// Maximum time that an attempt is queued.
+const QUEUE_MAX_MS: u64 = 150;
 
-/// Time between two pieces at most.
-const PIECE_MS: u64 = 40;
+/// Maximum time between two chunks.
+const CHUNK_INTERVAL_MAX_MS: u64 = 40;
 
-/// Attempts refused because the queue is full, in thousandths.
-const FULL_PERMILLE: u32 = 50;
+/// Share of attempts refused because the queue is full.
+const QUEUE_FULL_PERMILLE: u32 = 50;
 
-/// Attempts that fail while they run, in thousandths.
-const FAIL_PERMILLE: u32 = 20;
+/// Probability that a running attempt fails at a step.
+const FAILURE_PERMILLE: u32 = 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Queued,
     Running,
     Done,
-    Gone,
+    Aborted,
 }
 
 #[derive(Debug)]
 struct Row {
     submit: Submit,
     stage: Stage,
-    step_ms: u64,
+    next_step_ms: u64,
     produced: u32,
     link: LinkId,
 }
@@ -47,20 +48,20 @@
     tombstones: IndexSet<AttemptId>,
 }
 
-/// Pieces of the answer of an attempt.
-pub(crate) fn piece_count(attempt: AttemptId) -> u32 {
+/// Returns the number of chunks in the response of an attempt.
+pub(crate) fn chunk_count_of(attempt: AttemptId) -> u32 {
     let mixed = attempt.request.sequence * 7 + u64::from(attempt.ordinal) * 3;
     u32::try_from(mixed % 23).unwrap_or(0)
 }
 
-/// One piece; no two attempts share any.
-pub(crate) fn piece(attempt: AttemptId, index: u32) -> Bytes {
+/// Returns the content of a chunk, which differs between attempts.
+pub(crate) fn chunk_content(attempt: AttemptId, index: u32) -> Bytes {
     Bytes::from(format!("{}.{}.{index};", attempt.request.sequence, attempt.ordinal))
 }
 
-/// The whole answer of an attempt.
-pub(crate) fn whole(attempt: AttemptId) -> Vec<u8> {
-    (0..piece_count(attempt)).flat_map(|index| piece(attempt, index).to_vec()).collect()
+/// Returns the complete response of an attempt.
+pub(crate) fn full_response(attempt: AttemptId) -> Vec<u8> {
+    (0..chunk_count_of(attempt)).flat_map(|index| chunk_content(attempt, index).to_vec()).collect()
 }
 
 impl FakeAgent {
@@ -68,7 +69,7 @@
         Self { incarnation, rows: IndexMap::new(), tombstones: IndexSet::new() }
     }
 
-    /// Answers a message.
+    /// Handles a message and returns the replies.
     pub(crate) fn receive(
         &mut self,
         now_ms: u64,
@@ -117,13 +118,13 @@
             row.link = link;
             return ToEntry::Accepted { attempt, load };
         }
-        if random.random_range(0..1_000) < FULL_PERMILLE {
+        if random.random_range(0..1_000) < QUEUE_FULL_PERMILLE {
             self.tombstones.insert(attempt);
             let reason = RefusalReason::QueueFull;
             return ToEntry::Refused { attempt, reason, retry_at: None, load };
         }
-        let step_ms = now_ms + random.random_range(0..QUEUE_MS);
-        let row = Row { submit, stage: Stage::Queued, step_ms, produced: 0, link };
+        let next_step_ms = now_ms + random.random_range(0..QUEUE_MAX_MS);
+        let row = Row { submit, stage: Stage::Queued, next_step_ms, produced: 0, link };
         self.rows.insert(attempt, row);
         ToEntry::Accepted { attempt, load }
     }
@@ -180,11 +181,11 @@
             replies.push(head(attempt));
         }
         for index in next_chunk..row.produced {
-            replies.push(ToEntry::Chunk { attempt, index, bytes: piece(attempt, index) });
+            replies.push(ToEntry::Chunk { attempt, index, bytes: chunk_content(attempt, index) });
         }
         match row.stage {
             Stage::Done => replies.push(end(now_ms, attempt)),
-            Stage::Gone => replies.push(failed(attempt)),
+            Stage::Aborted => replies.push(failed(attempt)),
             Stage::Queued | Stage::Running => {}
         }
         replies
@@ -192,13 +193,14 @@
 
     fn cancel(&mut self, attempt: AttemptId) {
         if let Some(row) = self.rows.get_mut(&attempt) {
-            row.stage = Stage::Gone;
+            row.stage = Stage::Aborted;
         } else {
             self.tombstones.insert(attempt);
         }
     }
 
-    /// Runs what is due: says which attempts started, and what is sent on which link.
+    /// Runs the due steps of all attempts. Returns the attempts that started, and the messages to
+    /// be sent with their links.
     pub(crate) fn step(
         &mut self,
         now_ms: u64,
@@ -206,24 +208,24 @@
     ) -> (Vec<AttemptId>, Vec<(LinkId, ToEntry)>) {
         let (mut started, mut sent) = (Vec::new(), Vec::new());
         for (attempt, row) in &mut self.rows {
-            if row.step_ms > now_ms {
+            if row.next_step_ms > now_ms {
                 continue;
             }
-            row.step_ms = now_ms + random.random_range(1..PIECE_MS);
+            row.next_step_ms = now_ms + random.random_range(1..CHUNK_INTERVAL_MAX_MS);
             let link = row.link;
             match row.stage {
-                Stage::Queued if row.submit.deadline.0 <= now_ms => row.stage = Stage::Gone,
+                Stage::Queued if row.submit.deadline.0 <= now_ms => row.stage = Stage::Aborted,
                 Stage::Queued => {
                     row.stage = Stage::Running;
                     started.push(*attempt);
                     sent.push((link, head(*attempt)));
                 }
-                Stage::Running if random.random_range(0..1_000) < FAIL_PERMILLE => {
-                    row.stage = Stage::Gone;
+                Stage::Running if random.random_range(0..1_000) < FAILURE_PERMILLE => {
+                    row.stage = Stage::Aborted;
                     sent.push((link, failed(*attempt)));
                 }
-                Stage::Running if row.produced < piece_count(*attempt) => {
-                    let (index, bytes) = (row.produced, piece(*attempt, row.produced));
+                Stage::Running if row.produced < chunk_count_of(*attempt) => {
+                    let (index, bytes) = (row.produced, chunk_content(*attempt, row.produced));
                     row.produced += 1;
                     sent.push((link, ToEntry::Chunk { attempt: *attempt, index, bytes }));
                 }
@@ -231,7 +233,7 @@
                     row.stage = Stage::Done;
                     sent.push((link, end(now_ms, *attempt)));
                 }
-                Stage::Done | Stage::Gone => {}
+                Stage::Done | Stage::Aborted => {}
             }
         }
         (started, sent)
@@ -244,8 +246,8 @@
 
 fn end(now_ms: u64, attempt: AttemptId) -> ToEntry {
     let load = load(now_ms, AgentState::Serving);
-    let byte_count = whole(attempt).len() as u64;
-    ToEntry::End { attempt, chunk_count: piece_count(attempt), byte_count, load }
+    let byte_count = full_response(attempt).len() as u64;
+    ToEntry::End { attempt, chunk_count: chunk_count_of(attempt), byte_count, load }
 }
 
 fn failed(attempt: AttemptId) -> ToEntry {
--- a/crates/core/tests/entry_support/mod.rs
+++ b/crates/core/tests/entry_support/mod.rs
@@ -1,4 +1,4 @@
-//! Drives one entry core by hand and keeps what its callers saw.
+//! Test harness that drives one entry core and records what its callers receive.
 
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
@@ -24,19 +24,19 @@
 pub(crate) mod fake_agent;
 pub(crate) mod scenarios;
 
-/// Moment at which every test begins.
+/// Time at which every test begins.
 pub(crate) const START_MS: u64 = 1_000_000;
 
-/// Step in which the tests let time pass.
+/// Interval between two ticks.
 pub(crate) const STEP_MS: u64 = 10;
 
-/// Incarnation of every agent until it restarts.
-pub(crate) const FIRST_LIFE: Incarnation = Incarnation(100);
+/// Incarnation of every agent before a restart.
+pub(crate) const FIRST_INCARNATION: Incarnation = Incarnation(100);
 
 /// Incarnation of an agent after a restart.
-pub(crate) const SECOND_LIFE: Incarnation = Incarnation(200);
+pub(crate) const SECOND_INCARNATION: Incarnation = Incarnation(200);
 
-/// A document with a non-idempotent service route, an idempotent one, and a model route.
+/// Returns a document with two non-idempotent service routes, an idempotent one, and a model route.
 pub(crate) fn document() -> Document {
     let server = |id: &str, domain: &str| {
         serde_json::json!({"id": id, "failure_domain": domain, "kind": "service",
@@ -73,27 +73,27 @@
     .expect("the document is well formed")
 }
 
-/// What one caller saw.
+/// What one caller received.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Caller {
-    pub(crate) begun: u32,
+    pub(crate) head_count: u32,
     pub(crate) bytes: Vec<u8>,
     pub(crate) finished: bool,
     pub(crate) refusals: Vec<Refusal>,
-    pub(crate) after_final: u32,
+    pub(crate) actions_after_final: u32,
 }
 
 impl Caller {
-    pub(crate) fn finals(&self) -> usize {
+    pub(crate) fn final_response_count(&self) -> usize {
         self.refusals.len() + usize::from(self.finished)
     }
 
-    pub(crate) fn see(&mut self, action: &EntryAction) {
-        if self.finals() > 0 {
-            self.after_final += 1;
+    pub(crate) fn observe(&mut self, action: &EntryAction) {
+        if self.final_response_count() > 0 {
+            self.actions_after_final += 1;
         }
         match action {
-            EntryAction::Head { .. } => self.begun += 1,
+            EntryAction::Head { .. } => self.head_count += 1,
             EntryAction::Chunk { bytes, .. } => self.bytes.extend_from_slice(bytes),
             EntryAction::Finish { .. } => self.finished = true,
             EntryAction::Refuse { refusal, .. } => self.refusals.push(refusal.clone()),
@@ -102,8 +102,8 @@
     }
 }
 
-/// The request that an action answers, if any.
-pub(crate) fn answered(action: &EntryAction) -> Option<RequestId> {
+/// Returns the request whose caller gets an action, if any.
+pub(crate) fn response_target(action: &EntryAction) -> Option<RequestId> {
     match action {
         EntryAction::Head { request, .. }
         | EntryAction::Chunk { request, .. }
@@ -113,9 +113,9 @@
     }
 }
 
-/// How a test writes a request.
+/// Parameters of a request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct TestRequest {
     pub(crate) path: &'static str,
     pub(crate) model: Option<&'static str>,
     pub(crate) api_key: &'static str,
@@ -124,8 +124,8 @@
     pub(crate) deadline_ms: Option<u64>,
 }
 
-/// A request that may run once.
-pub(crate) const LODGE: Ask = Ask {
+/// A request to a non-idempotent route.
+pub(crate) const NON_IDEMPOTENT: TestRequest = TestRequest {
     path: "/lodge/1",
     model: None,
     api_key: "secret",
@@ -134,33 +134,34 @@
     deadline_ms: None,
 };
 
-/// A request that may run more than once.
-pub(crate) const READ: Ask = Ask { path: "/read/1", ..LODGE };
+/// A request to an idempotent route.
+pub(crate) const IDEMPOTENT: TestRequest = TestRequest { path: "/read/1", ..NON_IDEMPOTENT };
 
-/// One entry with agents that answer by hand, but for links and heartbeats.
-pub(crate) struct Rig {
+/// One entry whose agents are played by the test, except that links are opened and heartbeats are
+/// acknowledged automatically.
+pub(crate) struct EntryHarness {
     pub(crate) core: EntryCore,
     pub(crate) now_ms: u64,
     pub(crate) log: Vec<EntryAction>,
     pub(crate) callers: IndexMap<RequestId, Caller>,
-    /// Instances that do not answer when a link is opened.
+    /// Instances to which no link can be opened.
     pub(crate) unreachable: IndexSet<InstanceId>,
     /// Incarnations of restarted agents.
-    pub(crate) lives: IndexMap<InstanceId, Incarnation>,
-    /// Links that deliver nothing any more, in either direction, without being closed.
+    pub(crate) incarnations: IndexMap<InstanceId, Incarnation>,
+    /// Links that are open but deliver nothing in either direction.
     pub(crate) silent: IndexSet<LinkId>,
     pub(crate) links: IndexMap<LinkId, InstanceId>,
-    /// Backend servers of instances that are not named after them.
-    pub(crate) hosts: IndexMap<InstanceId, BackendServerId>,
+    /// Backend servers hosted by instances that are not named after them.
+    pub(crate) hosted_servers: IndexMap<InstanceId, BackendServerId>,
     pub(crate) next_request: u64,
 }
 
-/// The instance that hosts a backend server.
+/// Returns the instance that hosts a backend server.
 pub(crate) fn instance_of(backend_server: &str) -> InstanceId {
     InstanceId::new(&format!("i-{backend_server}"))
 }
 
-/// A row of the instance list.
+/// Returns an instance list entry of an agent.
 pub(crate) fn instance(backend_server: &str, state: InstanceState) -> Instance {
     Instance {
         id: instance_of(backend_server),
@@ -171,37 +172,38 @@
     }
 }
 
-/// A report of an agent.
+/// Returns a load report of an agent.
 pub(crate) fn load(sampled_ms: u64, state: AgentState) -> Load {
     let (running, slots, service_ms) = (1, 4, 10);
     Load { sampled: UnixMs(sampled_ms), state, running, slots, waiting: vec![], service_ms }
 }
 
-impl Rig {
-    /// An entry with the test document and three live agents.
+impl EntryHarness {
+    /// Creates an entry with the test document and three live agents.
     pub(crate) fn new(mechanisms: Mechanisms) -> Self {
-        Self::of(mechanisms, &["s-1", "s-2", "s-3"])
+        Self::with_agents(mechanisms, &["s-1", "s-2", "s-3"])
     }
 
-    /// An entry with the test document and some of its agents.
-    pub(crate) fn of(mechanisms: Mechanisms, backend_servers: &[&str]) -> Self {
-        Self::with(mechanisms, EntryPolicies::baseline(), document(), backend_servers)
+    /// Creates an entry with the test document and the agents of some backend servers.
+    pub(crate) fn with_agents(mechanisms: Mechanisms, backend_servers: &[&str]) -> Self {
+        Self::with_policies(mechanisms, EntryPolicies::baseline(), document(), backend_servers)
     }
 
-    pub(crate) fn with(
+    /// Creates an entry with a document, policies and the agents of some backend servers.
+    pub(crate) fn with_policies(
         mechanisms: Mechanisms,
         policies: EntryPolicies,
         document: Document,
         backend_servers: &[&str],
     ) -> Self {
-        let mut rig = Self::bare(mechanisms, policies);
-        rig.adopt(document);
-        rig.list(backend_servers);
-        rig
+        let mut harness = Self::unconfigured(mechanisms, policies);
+        harness.adopt(document);
+        harness.list_instances(backend_servers);
+        harness
     }
 
-    /// An entry that knows nothing yet.
-    pub(crate) fn bare(mechanisms: Mechanisms, policies: EntryPolicies) -> Self {
+    /// Creates an entry without a document or instance list.
+    pub(crate) fn unconfigured(mechanisms: Mechanisms, policies: EntryPolicies) -> Self {
         let failure_domain = FailureDomainId::new("fd-a");
         let identity = EntryIdentity { incarnation: Incarnation(1), failure_domain };
         Self {
@@ -210,42 +212,42 @@
             log: Vec::new(),
             callers: IndexMap::new(),
             unreachable: IndexSet::new(),
-            lives: IndexMap::new(),
+            incarnations: IndexMap::new(),
             silent: IndexSet::new(),
             links: IndexMap::new(),
-            hosts: IndexMap::new(),
+            hosted_servers: IndexMap::new(),
             next_request: 0,
         }
     }
 
     pub(crate) fn adopt(&mut self, document: Document) {
         let stamp = Stamp { revision: 1, digest: Digest(1) };
-        self.event(EntryEvent::Adopted { stamp, document: Arc::new(document) });
+        self.handle_event(EntryEvent::Adopted { stamp, document: Arc::new(document) });
     }
 
-    pub(crate) fn list(&mut self, backend_servers: &[&str]) {
+    pub(crate) fn list_instances(&mut self, backend_servers: &[&str]) {
         let live = |id: &&str| instance(id, InstanceState::Live);
-        self.event(EntryEvent::Instances(backend_servers.iter().map(live).collect()));
+        self.handle_event(EntryEvent::Instances(backend_servers.iter().map(live).collect()));
     }
 
-    /// Handles an event, then answers opened links and heartbeats.
-    pub(crate) fn event(&mut self, event: EntryEvent) {
+    /// Handles an event, then opens the requested links and acknowledges heartbeats.
+    pub(crate) fn handle_event(&mut self, event: EntryEvent) {
         let mut actions = Vec::new();
         self.core.handle(Now::at(self.now_ms), event, &mut actions);
         let mut replies = Vec::new();
         for action in &actions {
-            if let Some(request) = answered(action) {
-                self.callers.entry(request).or_default().see(action);
+            if let Some(request) = response_target(action) {
+                self.callers.entry(request).or_default().observe(action);
             }
-            replies.extend(self.reply(action));
+            replies.extend(self.automatic_reply(action));
         }
         self.log.extend(actions);
         for reply in replies {
-            self.event(reply);
+            self.handle_event(reply);
         }
     }
 
-    fn reply(&mut self, action: &EntryAction) -> Option<EntryEvent> {
+    fn automatic_reply(&mut self, action: &EntryAction) -> Option<EntryEvent> {
         match action {
             EntryAction::OpenLink { link, instance, .. } => {
                 self.links.insert(*link, instance.clone());
@@ -253,9 +255,10 @@
                     return None;
                 }
                 let name = instance.0.trim_start_matches("i-");
-                let incarnation = self.lives.get(instance).copied().unwrap_or(FIRST_LIFE);
+                let incarnation =
+                    self.incarnations.get(instance).copied().unwrap_or(FIRST_INCARNATION);
                 let named = BackendServerId::new(name);
-                let backend_server = self.hosts.get(instance).cloned().unwrap_or(named);
+                let backend_server = self.hosted_servers.get(instance).cloned().unwrap_or(named);
                 Some(EntryEvent::LinkOpened { link: *link, backend_server, incarnation })
             }
             EntryAction::Send { link, message: ToAgent::Heartbeat { nonce, stamp } } => {
@@ -268,46 +271,46 @@
         }
     }
 
-    /// A message from an agent; lost when the link is silent.
-    pub(crate) fn say(&mut self, link: LinkId, message: ToEntry) {
+    /// Delivers a message from an agent, unless the link is silent.
+    pub(crate) fn deliver(&mut self, link: LinkId, message: ToEntry) {
         if !self.silent.contains(&link) {
-            self.event(EntryEvent::Message { link, message });
+            self.handle_event(EntryEvent::Message { link, message });
         }
     }
 
-    /// Lets time pass in small steps.
-    pub(crate) fn wait(&mut self, span_ms: u64) {
+    /// Advances the time, with a tick at each step.
+    pub(crate) fn advance(&mut self, span_ms: u64) {
         let end_ms = self.now_ms + span_ms;
         while self.now_ms < end_ms {
             self.now_ms += STEP_MS;
-            self.event(EntryEvent::Tick);
+            self.handle_event(EntryEvent::Tick);
         }
     }
 
-    /// A request arrives.
-    pub(crate) fn ask(&mut self, ask: Ask) -> RequestId {
+    /// Lets a request arrive, and returns its identifier.
+    pub(crate) fn send_request(&mut self, test_request: TestRequest) -> RequestId {
         let request = RequestId { entry: Incarnation(1), sequence: self.next_request };
         self.next_request += 1;
-        let path = ask.path.to_owned();
-        let target = ask
+        let path = test_request.path.to_owned();
+        let target = test_request
             .model
             .map_or(RequestTarget::Path(path.clone()), |m| RequestTarget::Model(m.to_owned()));
         let arrival = Arrival {
             request,
-            key_hash: hash_api_key(ask.api_key),
+            key_hash: hash_api_key(test_request.api_key),
             target,
-            non_idempotent: ask.non_idempotent,
-            idempotency_key: ask.key.map(str::to_owned),
-            deadline: ask.deadline_ms.map(|ms| UnixMs(START_MS + ms)),
+            non_idempotent: test_request.non_idempotent,
+            idempotency_key: test_request.key.map(str::to_owned),
+            deadline: test_request.deadline_ms.map(|ms| UnixMs(START_MS + ms)),
             head: RequestHead { method: "POST".to_owned(), path, headers: vec![] },
             body: Bytes::from_static(b"{}"),
         };
         self.callers.entry(request).or_default();
-        self.event(EntryEvent::Arrived(Box::new(arrival)));
+        self.handle_event(EntryEvent::Arrived(Box::new(arrival)));
         request
     }
 
-    /// Every submission of a request so far, with its link.
+    /// Returns all submissions of a request with their links.
     pub(crate) fn submissions(&self, request: RequestId) -> Vec<(LinkId, Submit)> {
         let submits = self.sent().filter_map(|(link, message)| match message {
             ToAgent::Submit(submit) if submit.attempt.request == request => {
@@ -318,12 +321,12 @@
         submits.collect()
     }
 
-    /// The latest submission of a request.
-    pub(crate) fn submission(&self, request: RequestId) -> Result<(LinkId, Submit), String> {
+    /// Returns the latest submission of a request with its link.
+    pub(crate) fn latest_submission(&self, request: RequestId) -> Result<(LinkId, Submit), String> {
         self.submissions(request).pop().ok_or_else(|| "it was not submitted".to_owned())
     }
 
-    /// Every message sent so far.
+    /// Returns all messages sent, with their links.
     pub(crate) fn sent(&self) -> impl Iterator<Item = (LinkId, &ToAgent)> {
         self.log.iter().filter_map(|action| match action {
             EntryAction::Send { link, message } => Some((*link, message)),
@@ -331,19 +334,19 @@
         })
     }
 
-    /// The link of the latest message that matches.
+    /// Returns the link of the latest matching message.
     pub(crate) fn last_sent(&self, matches: impl Fn(&ToAgent) -> bool) -> Option<LinkId> {
         self.sent().filter(|(_, message)| matches(message)).map(|(link, _)| link).last()
     }
 
-    /// The link of the latest revocation of an attempt.
-    pub(crate) fn revoked_on(&self, id: AttemptId) -> Result<LinkId, String> {
+    /// Returns the link of the latest revocation of an attempt.
+    pub(crate) fn revoke_link(&self, id: AttemptId) -> Result<LinkId, String> {
         let is = |message: &ToAgent| matches!(message, ToAgent::Revoke { attempt, .. } if *attempt == id);
         self.last_sent(is).ok_or_else(|| "it was not revoked".to_owned())
     }
 
-    /// The link of the latest attachment of an attempt from a piece on.
-    pub(crate) fn attached_on(&self, id: AttemptId, from: u32) -> Result<LinkId, String> {
+    /// Returns the link on which an attempt was last attached from the chunk `from` on.
+    pub(crate) fn attach_link(&self, id: AttemptId, from: u32) -> Result<LinkId, String> {
         let is = |message: &ToAgent| {
             matches!(message, ToAgent::Attach { attempt, next_chunk, .. }
                 if *attempt == id && *next_chunk == from)
@@ -353,12 +356,12 @@
 
     pub(crate) fn accept(&mut self, link: LinkId, attempt: AttemptId) {
         let load = load(self.now_ms, AgentState::Serving);
-        self.say(link, ToEntry::Accepted { attempt, load });
+        self.deliver(link, ToEntry::Accepted { attempt, load });
     }
 
     pub(crate) fn head(&mut self, link: LinkId, attempt: AttemptId) {
         let head = ResponseHead { status: 200, headers: vec![] };
-        self.say(link, ToEntry::Head { attempt, head });
+        self.deliver(link, ToEntry::Head { attempt, head });
     }
 
     pub(crate) fn chunk(
@@ -369,7 +372,7 @@
         text: &'static str,
     ) {
         let bytes = Bytes::from_static(text.as_bytes());
-        self.say(link, ToEntry::Chunk { attempt, index, bytes });
+        self.deliver(link, ToEntry::Chunk { attempt, index, bytes });
     }
 
     pub(crate) fn end(
@@ -380,10 +383,10 @@
         byte_count: u64,
     ) {
         let load = load(self.now_ms, AgentState::Serving);
-        self.say(link, ToEntry::End { attempt, chunk_count, byte_count, load });
+        self.deliver(link, ToEntry::End { attempt, chunk_count, byte_count, load });
     }
 
-    /// The invariants that were reported as not holding.
+    /// Returns the audited violations of invariants.
     pub(crate) fn violations(&self) -> Vec<String> {
         let of = |action: &EntryAction| match action {
             EntryAction::Audit(record) => match &record.change {
@@ -395,15 +398,19 @@
         self.log.iter().filter_map(of).collect()
     }
 
-    /// What is wrong with a caller that should have got exactly this answer.
-    pub(crate) fn expect_answer(&self, request: RequestId, text: &str) -> Result<(), String> {
+    /// Checks that the caller received exactly this response, and that no invariant was violated.
+    pub(crate) fn expect_response(&self, request: RequestId, text: &str) -> Result<(), String> {
         let caller = &self.callers[&request];
-        let whole = caller.finished && caller.begun == 1 && caller.bytes == text.as_bytes();
-        check(whole && caller.finals() == 1 && caller.after_final == 0, caller)?;
+        let full_response =
+            caller.finished && caller.head_count == 1 && caller.bytes == text.as_bytes();
+        check(
+            full_response && caller.final_response_count() == 1 && caller.actions_after_final == 0,
+            caller,
+        )?;
         check(self.violations().is_empty(), &self.violations())
     }
 
-    /// What is wrong with a caller that should have got exactly this refusal.
+    /// Checks that the caller received exactly this refusal.
     pub(crate) fn expect_refusal(
         &self,
         request: RequestId,
@@ -411,13 +418,13 @@
         verdict: Verdict,
     ) -> Result<(), String> {
         let caller = &self.callers[&request];
-        check(caller.finals() == 1 && caller.after_final == 0, caller)?;
+        check(caller.final_response_count() == 1 && caller.actions_after_final == 0, caller)?;
         let fits = |one: &Refusal| one.code == code && one.verdict == verdict;
         check(caller.refusals.first().is_some_and(fits), caller)
     }
 }
 
-/// Fails with what was seen.
+/// Returns `seen` as the error unless the condition holds.
 pub(crate) fn check(holds: bool, seen: &impl std::fmt::Debug) -> Result<(), String> {
     if holds { Ok(()) } else { Err(format!("{seen:?}")) }
 }
--- a/crates/core/tests/entry_support/scenarios.rs
+++ b/crates/core/tests/entry_support/scenarios.rs
@@ -1,6 +1,9 @@
-//! One function for each failure of the request path: what happens, and what must come of it.
+//! Scenarios of failures on the request path. Each checks that the entry reaches the safe outcome.
 
-use super::{Ask, LODGE, READ, Rig, SECOND_LIFE, STEP_MS, check, instance_of, load};
+use super::{
+    EntryHarness, IDEMPOTENT, NON_IDEMPOTENT, SECOND_INCARNATION, STEP_MS, TestRequest, check,
+    instance_of, load,
+};
 use hickorycross_config::BackendServerId;
 use hickorycross_core::entry::{EntryEvent, Mechanisms, RefusalCode};
 use hickorycross_core::message::{
@@ -8,368 +11,386 @@
 };
 use hickorycross_core::{AttemptId, LinkId, RequestId, Verdict, key_home};
 
-type Outcome = Result<(), String>;
+type ScenarioResult = Result<(), String>;
 
-/// Long enough for any overdue acknowledgement, short of giving up an attempt.
-const SILENCE_MS: u64 = 400;
+/// Longer than the timeout of an acknowledgement, and shorter than the recovery of an attempt.
+const ACK_OVERDUE_MS: u64 = 400;
 
-/// Long enough for a silent link to be noticed by its heartbeat.
+/// Long enough for a heartbeat to detect a silent link.
 const HEARTBEAT_MS: u64 = 3_000;
 
-/// Past the time in which an attempt may be found again.
+/// Longer than the recovery of an attempt.
 const RECOVERY_MS: u64 = 6_000;
 
 /// Submits a request and returns its attempt with its link.
-fn submitted(rig: &mut Rig, ask: Ask) -> Result<(RequestId, LinkId, AttemptId), String> {
-    let request = rig.ask(ask);
-    let (link, submit) = rig.submission(request)?;
+fn submit_request(
+    harness: &mut EntryHarness,
+    test_request: TestRequest,
+) -> Result<(RequestId, LinkId, AttemptId), String> {
+    let request = harness.send_request(test_request);
+    let (link, submit) = harness.latest_submission(request)?;
     Ok((request, link, submit.attempt))
 }
 
-/// Symptom: a caller of a non-idempotent route waits for ever, or its application is lodged twice.
-/// Sequence: a link goes silent without an error; a submission on it is never acknowledged.
-/// Cause: a middlebox forgot the connection. The submission may or may not have arrived.
-pub(crate) fn unacknowledged_submission_is_revoked_and_tried_again(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::new(on);
-    let (request, old, attempt) = submitted(&mut rig, LODGE)?;
-    rig.silent.insert(old);
-    rig.wait(SILENCE_MS);
-    let fresh = rig.revoked_on(attempt)?;
+/// A link goes silent without an error, and a submission on it is never acknowledged. It may or may
+/// not have arrived. Without revocation the caller would wait until its deadline, or the request
+/// would run twice.
+pub(crate) fn unacknowledged_submission_is_revoked_and_retried(
+    mechanisms: Mechanisms,
+) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let (request, old, attempt) = submit_request(&mut harness, NON_IDEMPOTENT)?;
+    harness.silent.insert(old);
+    harness.advance(ACK_OVERDUE_MS);
+    let fresh = harness.revoke_link(attempt)?;
     check(fresh != old, &"revoked on the silent link")?;
     let outcome = RevokeOutcome::Tombstoned;
-    rig.say(fresh, ToEntry::Revoked { attempt, outcome });
-    rig.wait(STEP_MS);
-    let (link, again) = rig.submission(request)?;
+    harness.deliver(fresh, ToEntry::Revoked { attempt, outcome });
+    harness.advance(STEP_MS);
+    let (link, again) = harness.latest_submission(request)?;
     check(again.attempt.ordinal == 1, &again)?;
-    rig.head(link, again.attempt);
-    rig.chunk(link, again.attempt, 0, "done");
-    rig.end(link, again.attempt, 1, 4);
-    rig.expect_answer(request, "done")
+    harness.head(link, again.attempt);
+    harness.chunk(link, again.attempt, 0, "done");
+    harness.end(link, again.attempt, 1, 4);
+    harness.expect_response(request, "done")
 }
 
-/// Symptom: a non-idempotent request runs twice.
-/// Sequence: its link goes silent; on the fresh link the agent says that it is running.
-/// Cause: the submission had arrived; only its acknowledgement was lost.
-pub(crate) fn running_attempt_is_attached_after_revocation(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::new(on);
-    let (request, old, attempt) = submitted(&mut rig, LODGE)?;
-    rig.silent.insert(old);
-    rig.wait(SILENCE_MS);
-    let fresh = rig.revoked_on(attempt)?;
-    rig.say(fresh, ToEntry::Revoked { attempt, outcome: RevokeOutcome::Attached });
-    rig.head(fresh, attempt);
-    rig.chunk(fresh, attempt, 0, "once");
-    rig.end(fresh, attempt, 1, 4);
-    check(rig.submissions(request).len() == 1, &"submitted twice")?;
-    rig.expect_answer(request, "once")
+/// A link goes silent after a submission arrived, so that only the acknowledgement is lost. On the
+/// new link the agent reports that the attempt is running. A retry would run the request twice.
+pub(crate) fn running_attempt_is_attached_after_revocation(
+    mechanisms: Mechanisms,
+) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let (request, old, attempt) = submit_request(&mut harness, NON_IDEMPOTENT)?;
+    harness.silent.insert(old);
+    harness.advance(ACK_OVERDUE_MS);
+    let fresh = harness.revoke_link(attempt)?;
+    harness.deliver(fresh, ToEntry::Revoked { attempt, outcome: RevokeOutcome::Attached });
+    harness.head(fresh, attempt);
+    harness.chunk(fresh, attempt, 0, "once");
+    harness.end(fresh, attempt, 1, 4);
+    check(harness.submissions(request).len() == 1, &"submitted twice")?;
+    harness.expect_response(request, "once")
 }
 
-/// Symptom: a long answer stops in the middle and its caller waits until the deadline.
-/// Sequence: two pieces arrive, then the link goes silent; the agent keeps what follows.
-/// Cause: nothing reports an error on a connection that a middlebox forgot.
-pub(crate) fn silent_stream_is_attached_from_the_next_piece(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::new(on);
-    let (request, old, attempt) = submitted(&mut rig, LODGE)?;
-    rig.accept(old, attempt);
-    rig.head(old, attempt);
-    rig.chunk(old, attempt, 0, "a");
-    rig.chunk(old, attempt, 1, "b");
-    rig.silent.insert(old);
-    rig.wait(HEARTBEAT_MS);
-    let fresh = rig.attached_on(attempt, 2)?;
+/// A link goes silent in the middle of a response, without an error at either end. The agent keeps
+/// the remaining chunks. Unless the entry detects the silence by a heartbeat and attaches the
+/// attempt on a new link, the caller waits until its deadline.
+pub(crate) fn silent_stream_is_attached_from_the_next_chunk(
+    mechanisms: Mechanisms,
+) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let (request, old, attempt) = submit_request(&mut harness, NON_IDEMPOTENT)?;
+    harness.accept(old, attempt);
+    harness.head(old, attempt);
+    harness.chunk(old, attempt, 0, "a");
+    harness.chunk(old, attempt, 1, "b");
+    harness.silent.insert(old);
+    harness.advance(HEARTBEAT_MS);
+    let fresh = harness.attach_link(attempt, 2)?;
     check(fresh != old, &"attached on the silent link")?;
-    rig.chunk(fresh, attempt, 1, "b");
-    rig.chunk(fresh, attempt, 2, "c");
-    rig.end(fresh, attempt, 3, 3);
-    rig.expect_answer(request, "abc")
+    harness.chunk(fresh, attempt, 1, "b");
+    harness.chunk(fresh, attempt, 2, "c");
+    harness.end(fresh, attempt, 3, 3);
+    harness.expect_response(request, "abc")
 }
 
-/// Symptom: a request runs twice, or waits for a process that is gone.
-/// Sequence: an agent accepts a non-idempotent request and restarts; a fresh link finds another
-/// incarnation, which would truthfully say that it never saw the attempt.
-/// Cause: the word of the successor proves nothing about its predecessor.
-pub(crate) fn restart_ends_a_non_idempotent_request(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::new(on);
-    let (request, old, attempt) = submitted(&mut rig, LODGE)?;
-    let instance = rig.links[&old].clone();
-    rig.lives.insert(instance, SECOND_LIFE);
-    rig.event(EntryEvent::LinkClosed { link: old });
-    if let Ok(fresh) = rig.revoked_on(attempt) {
-        rig.say(fresh, ToEntry::Revoked { attempt, outcome: RevokeOutcome::Tombstoned });
+/// An agent restarts with a non-idempotent attempt. Its successor truthfully reports that it never
+/// received the attempt, which proves nothing about the predecessor. A retry could run the request
+/// twice.
+pub(crate) fn agent_restart_ends_a_non_idempotent_request(
+    mechanisms: Mechanisms,
+) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let (request, old, attempt) = submit_request(&mut harness, NON_IDEMPOTENT)?;
+    let instance = harness.links[&old].clone();
+    harness.incarnations.insert(instance, SECOND_INCARNATION);
+    harness.handle_event(EntryEvent::LinkClosed { link: old });
+    if let Ok(fresh) = harness.revoke_link(attempt) {
+        harness.deliver(fresh, ToEntry::Revoked { attempt, outcome: RevokeOutcome::Tombstoned });
     }
-    rig.wait(SILENCE_MS);
-    check(rig.submissions(request).len() == 1, &"submitted twice")?;
-    rig.expect_refusal(request, RefusalCode::Interrupted, Verdict::MayHaveRun)
+    harness.advance(ACK_OVERDUE_MS);
+    check(harness.submissions(request).len() == 1, &"submitted twice")?;
+    harness.expect_refusal(request, RefusalCode::Interrupted, Verdict::MayHaveRun)
 }
 
-/// Symptom: a caller gets an error that another try would have spared it.
-/// Sequence: the agent of an idempotent request restarts before its answer begins.
-/// Cause: a verdict of "may have run" only matters to requests that must not run twice.
-pub(crate) fn restart_is_survived_by_an_idempotent_request(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::new(on);
-    let (request, old, first) = submitted(&mut rig, READ)?;
-    let instance = rig.links[&old].clone();
-    rig.lives.insert(instance, SECOND_LIFE);
-    rig.event(EntryEvent::LinkClosed { link: old });
-    rig.wait(STEP_MS);
-    let (link, again) = rig.submission(request)?;
-    check(again.attempt != first, &"not tried again")?;
-    check(rig.links[&link] != rig.links[&old], &"tried where it failed")?;
-    rig.head(link, again.attempt);
-    rig.end(link, again.attempt, 0, 0);
-    rig.expect_answer(request, "")
+/// The agent of an idempotent request restarts before its response begins. The verdict `MayHaveRun`
+/// does not rule out a retry of such a request, so that its caller must not get an error.
+pub(crate) fn agent_restart_retries_an_idempotent_request(
+    mechanisms: Mechanisms,
+) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let (request, old, first) = submit_request(&mut harness, IDEMPOTENT)?;
+    let instance = harness.links[&old].clone();
+    harness.incarnations.insert(instance, SECOND_INCARNATION);
+    harness.handle_event(EntryEvent::LinkClosed { link: old });
+    harness.advance(STEP_MS);
+    let (link, again) = harness.latest_submission(request)?;
+    check(again.attempt != first, &"not retried")?;
+    check(harness.links[&link] != harness.links[&old], &"retried on the failed agent")?;
+    harness.head(link, again.attempt);
+    harness.end(link, again.attempt, 0, 0);
+    harness.expect_response(request, "")
 }
 
-/// Symptom: a non-idempotent request runs twice, or its caller waits until the deadline.
-/// Sequence: the link of an accepted request closes and no fresh one can be opened.
-/// Cause: the instance is cut off; whether the request runs there cannot be known.
-pub(crate) fn unreachable_agent_ends_a_non_idempotent_request(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::new(on);
-    let (request, old, attempt) = submitted(&mut rig, LODGE)?;
-    rig.accept(old, attempt);
-    rig.unreachable.insert(rig.links[&old].clone());
-    rig.event(EntryEvent::LinkClosed { link: old });
-    rig.wait(RECOVERY_MS);
-    check(rig.submissions(request).len() == 1, &"submitted twice")?;
-    rig.expect_refusal(request, RefusalCode::Interrupted, Verdict::MayHaveRun)
+/// The link of an accepted request closes and no new one can be opened. Whether the request runs at
+/// the unreachable instance cannot be known: a retry could run it twice, and waiting would take
+/// until the deadline.
+pub(crate) fn unreachable_agent_ends_a_non_idempotent_request(
+    mechanisms: Mechanisms,
+) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let (request, old, attempt) = submit_request(&mut harness, NON_IDEMPOTENT)?;
+    harness.accept(old, attempt);
+    harness.unreachable.insert(harness.links[&old].clone());
+    harness.handle_event(EntryEvent::LinkClosed { link: old });
+    harness.advance(RECOVERY_MS);
+    check(harness.submissions(request).len() == 1, &"submitted twice")?;
+    harness.expect_refusal(request, RefusalCode::Interrupted, Verdict::MayHaveRun)
 }
 
-/// Symptom: two answers are mixed at a caller.
-/// Sequence: an attempt is refused and tried again at the only agent; late pieces of the first one
-/// come.
-/// Cause: messages may be doubled and delayed; the request is the same, the attempt is not.
-pub(crate) fn pieces_of_an_abandoned_attempt_are_dropped(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::of(on, &["s-1"]);
-    let (request, old, first) = submitted(&mut rig, READ)?;
-    let load = load(rig.now_ms, AgentState::Serving);
+/// An attempt is refused and retried at the same agent. Late chunks of the first attempt, which
+/// messages duplicated or delayed on the way can be, must not be mixed into the response of the
+/// second.
+pub(crate) fn chunks_of_an_abandoned_attempt_are_dropped(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = EntryHarness::with_agents(mechanisms, &["s-1"]);
+    let (request, old, first) = submit_request(&mut harness, IDEMPOTENT)?;
+    let load = load(harness.now_ms, AgentState::Serving);
     let reason = RefusalReason::QueueFull;
-    rig.say(old, ToEntry::Refused { attempt: first, reason, retry_at: None, load });
-    rig.wait(STEP_MS);
-    let (link, again) = rig.submission(request)?;
+    harness.deliver(old, ToEntry::Refused { attempt: first, reason, retry_at: None, load });
+    harness.advance(STEP_MS);
+    let (link, again) = harness.latest_submission(request)?;
     let second = again.attempt;
-    check(second != first, &"not tried again")?;
-    rig.head(link, second);
-    rig.chunk(old, first, 0, "OLD");
-    rig.chunk(link, second, 0, "new");
-    rig.chunk(old, first, 1, "OLD");
-    rig.end(link, second, 1, 3);
-    rig.expect_answer(request, "new")
+    check(second != first, &"not retried")?;
+    harness.head(link, second);
+    harness.chunk(old, first, 0, "OLD");
+    harness.chunk(link, second, 0, "new");
+    harness.chunk(old, first, 1, "OLD");
+    harness.end(link, second, 1, 3);
+    harness.expect_response(request, "new")
 }
 
-/// Symptom: a caller takes a truncated answer for whole.
-/// Sequence: the last piece is lost, the end marker comes; attaching again brings nothing.
-/// Cause: the end of a stream says nothing about its pieces unless it carries their count.
-pub(crate) fn answer_with_a_gap_is_never_whole(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::new(on);
-    let (request, link, attempt) = submitted(&mut rig, READ)?;
-    rig.accept(link, attempt);
-    rig.head(link, attempt);
-    rig.chunk(link, attempt, 0, "a");
-    rig.end(link, attempt, 2, 2);
-    check(rig.callers[&request].finals() == 0, &"ended at the gap")?;
-    rig.wait(SILENCE_MS);
-    rig.attached_on(attempt, 1)?;
-    rig.wait(RECOVERY_MS);
-    rig.expect_refusal(request, RefusalCode::Interrupted, Verdict::Ran)
+/// The last chunk is lost but the end marker arrives, and attaching again brings nothing. Without
+/// the chunk count of the end marker the caller would take a truncated response for complete.
+pub(crate) fn response_with_missing_chunks_is_never_complete(
+    mechanisms: Mechanisms,
+) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let (request, link, attempt) = submit_request(&mut harness, IDEMPOTENT)?;
+    harness.accept(link, attempt);
+    harness.head(link, attempt);
+    harness.chunk(link, attempt, 0, "a");
+    harness.end(link, attempt, 2, 2);
+    check(harness.callers[&request].final_response_count() == 0, &"ended with missing chunks")?;
+    harness.advance(ACK_OVERDUE_MS);
+    harness.attach_link(attempt, 1)?;
+    harness.advance(RECOVERY_MS);
+    harness.expect_refusal(request, RefusalCode::Interrupted, Verdict::Ran)
 }
 
-/// Symptom: a caller gets an answer whose bytes are not those of the backend server.
-/// Sequence: as many pieces as the end marker says, but not as many bytes.
-/// Cause: a fault on the way; the counts of pieces alone would not show it.
-pub(crate) fn answer_with_other_bytes_is_never_whole(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::new(on);
-    let (request, link, attempt) = submitted(&mut rig, READ)?;
-    rig.head(link, attempt);
-    rig.chunk(link, attempt, 0, "a");
-    rig.end(link, attempt, 1, 2);
-    rig.expect_refusal(request, RefusalCode::BadAnswer, Verdict::Ran)
+/// The number of chunks matches the end marker but the number of bytes does not, because of a
+/// fault on the way. The chunk count alone would not show it.
+pub(crate) fn response_with_a_wrong_byte_count_is_never_complete(
+    mechanisms: Mechanisms,
+) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let (request, link, attempt) = submit_request(&mut harness, IDEMPOTENT)?;
+    harness.head(link, attempt);
+    harness.chunk(link, attempt, 0, "a");
+    harness.end(link, attempt, 1, 2);
+    harness.expect_refusal(request, RefusalCode::BadAnswer, Verdict::Ran)
 }
 
-/// Symptom: a caller gets its answer in the wrong order, or parts of it twice.
-/// Sequence: head, pieces and end marker overtake each other; some come twice.
-/// Cause: pieces that were sent on two links meet.
-pub(crate) fn reordered_and_doubled_pieces_make_one_answer(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::new(on);
-    let (request, link, attempt) = submitted(&mut rig, LODGE)?;
-    rig.chunk(link, attempt, 1, "b");
-    rig.end(link, attempt, 3, 3);
-    rig.head(link, attempt);
-    rig.chunk(link, attempt, 0, "a");
-    rig.head(link, attempt);
-    rig.chunk(link, attempt, 0, "a");
-    rig.chunk(link, attempt, 1, "b");
-    rig.accept(link, attempt);
-    rig.chunk(link, attempt, 2, "c");
-    rig.chunk(link, attempt, 2, "c");
-    rig.expect_answer(request, "abc")
+/// Head, chunks and end marker overtake each other and are duplicated, as when they were sent on
+/// two links. The caller must get each chunk once and in order.
+pub(crate) fn reordered_and_duplicate_chunks_make_one_response(
+    mechanisms: Mechanisms,
+) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let (request, link, attempt) = submit_request(&mut harness, NON_IDEMPOTENT)?;
+    harness.chunk(link, attempt, 1, "b");
+    harness.end(link, attempt, 3, 3);
+    harness.head(link, attempt);
+    harness.chunk(link, attempt, 0, "a");
+    harness.head(link, attempt);
+    harness.chunk(link, attempt, 0, "a");
+    harness.chunk(link, attempt, 1, "b");
+    harness.accept(link, attempt);
+    harness.chunk(link, attempt, 2, "c");
+    harness.chunk(link, attempt, 2, "c");
+    harness.expect_response(request, "abc")
 }
 
-/// Symptom: the beginning of one answer is followed by the end of another.
-/// Sequence: an answer begins, then its attempt fails.
-/// Cause: what has gone to the caller cannot be taken back, so another try cannot replace it.
-pub(crate) fn answer_that_began_is_not_tried_again(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::new(on);
-    let (request, link, attempt) = submitted(&mut rig, READ)?;
-    rig.head(link, attempt);
-    rig.chunk(link, attempt, 0, "a");
+/// An attempt fails after part of its response was sent to the caller. A retry would append the
+/// response of another attempt to it.
+pub(crate) fn started_response_is_not_retried(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let (request, link, attempt) = submit_request(&mut harness, IDEMPOTENT)?;
+    harness.head(link, attempt);
+    harness.chunk(link, attempt, 0, "a");
     let detail = "connection reset".to_owned();
-    rig.say(link, ToEntry::Failed { attempt, verdict: Verdict::Ran, detail });
-    rig.wait(SILENCE_MS);
-    check(rig.violations().is_empty(), &rig.violations())?;
-    check(rig.submissions(request).len() == 1, &"submitted twice")?;
-    rig.expect_refusal(request, RefusalCode::Interrupted, Verdict::Ran)
+    harness.deliver(link, ToEntry::Failed { attempt, verdict: Verdict::Ran, detail });
+    harness.advance(ACK_OVERDUE_MS);
+    check(harness.violations().is_empty(), &harness.violations())?;
+    check(harness.submissions(request).len() == 1, &"submitted twice")?;
+    harness.expect_refusal(request, RefusalCode::Interrupted, Verdict::Ran)
 }
 
-/// Symptom: a non-idempotent request runs twice.
-/// Sequence: its attempt fails after it may have reached the backend server.
-/// Cause: a failure is not a proof that nothing ran.
-pub(crate) fn failed_non_idempotent_request_is_not_tried_again(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::new(on);
-    let (request, link, attempt) = submitted(&mut rig, LODGE)?;
+/// The attempt of a non-idempotent request fails after it may have reached the backend server. The
+/// failure does not prove that nothing ran, so that a retry could run the request twice.
+pub(crate) fn failed_non_idempotent_request_is_not_retried(
+    mechanisms: Mechanisms,
+) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let (request, link, attempt) = submit_request(&mut harness, NON_IDEMPOTENT)?;
     let detail = "connection reset".to_owned();
-    rig.say(link, ToEntry::Failed { attempt, verdict: Verdict::MayHaveRun, detail });
-    rig.wait(SILENCE_MS);
-    check(rig.violations().is_empty(), &rig.violations())?;
-    check(rig.submissions(request).len() == 1, &"submitted twice")?;
-    rig.expect_refusal(request, RefusalCode::Interrupted, Verdict::MayHaveRun)
+    harness.deliver(link, ToEntry::Failed { attempt, verdict: Verdict::MayHaveRun, detail });
+    harness.advance(ACK_OVERDUE_MS);
+    check(harness.violations().is_empty(), &harness.violations())?;
+    check(harness.submissions(request).len() == 1, &"submitted twice")?;
+    harness.expect_refusal(request, RefusalCode::Interrupted, Verdict::MayHaveRun)
 }
 
-/// Symptom: a caller is told "not run" although it read the beginning of its answer.
-/// Sequence: an answer begins; then the agent says that the attempt was refused.
-/// Cause: an agent that contradicts itself must not be believed in the dangerous direction.
-pub(crate) fn refusal_after_the_answer_began_proves_nothing(on: Mechanisms) -> Outcome {
-    refused_after(on, Rig::head)?;
-    refused_after(on, |rig, link, attempt| rig.chunk(link, attempt, 0, "before its head"))
+/// An agent refuses an attempt after it sent part of the response. The refusal contradicts that
+/// part, and must not lead to the verdict `NotRun` or to a retry.
+pub(crate) fn refusal_after_the_response_started_is_not_trusted(
+    mechanisms: Mechanisms,
+) -> ScenarioResult {
+    expect_refusal_after(mechanisms, EntryHarness::head)?;
+    expect_refusal_after(mechanisms, |harness, link, attempt| {
+        harness.chunk(link, attempt, 0, "before its head");
+    })
 }
 
-fn refused_after(on: Mechanisms, begin: fn(&mut Rig, LinkId, AttemptId)) -> Outcome {
-    let mut rig = Rig::new(on);
-    let (request, link, attempt) = submitted(&mut rig, LODGE)?;
-    begin(&mut rig, link, attempt);
-    let load = load(rig.now_ms, AgentState::Serving);
+fn expect_refusal_after(
+    mechanisms: Mechanisms,
+    begin: fn(&mut EntryHarness, LinkId, AttemptId),
+) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let (request, link, attempt) = submit_request(&mut harness, NON_IDEMPOTENT)?;
+    begin(&mut harness, link, attempt);
+    let load = load(harness.now_ms, AgentState::Serving);
     let reason = RefusalReason::QueueFull;
-    rig.say(link, ToEntry::Refused { attempt, reason, retry_at: None, load });
-    rig.wait(SILENCE_MS);
-    check(rig.submissions(request).len() == 1, &"submitted twice")?;
-    check(rig.violations().len() == 1, &rig.violations())?;
-    rig.expect_refusal(request, RefusalCode::Overloaded, Verdict::Ran)
+    harness.deliver(link, ToEntry::Refused { attempt, reason, retry_at: None, load });
+    harness.advance(ACK_OVERDUE_MS);
+    check(harness.submissions(request).len() == 1, &"submitted twice")?;
+    check(harness.violations().len() == 1, &harness.violations())?;
+    harness.expect_refusal(request, RefusalCode::Overloaded, Verdict::Ran)
 }
 
-/// Symptom: work is done for, and an answer given to, a caller that gave up long ago.
-/// Sequence: the process is paused while messages arrive, and wakes past the deadline.
-/// Cause: a paused process still believes what it knew before.
-pub(crate) fn paused_process_finds_its_requests_expired(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::new(on);
-    let ask = Ask { deadline_ms: Some(1_000), ..LODGE };
-    let (request, link, attempt) = submitted(&mut rig, ask)?;
-    rig.accept(link, attempt);
-    rig.now_ms += 5_000;
-    rig.head(link, attempt);
-    check(rig.callers[&request].begun == 0, &"began after the deadline")?;
+/// The process is paused while messages arrive, and resumes after the deadline. It must check the
+/// deadline before it acts on them, instead of sending a response that the caller no longer
+/// expects.
+pub(crate) fn requests_expire_while_the_process_is_paused(
+    mechanisms: Mechanisms,
+) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let test_request = TestRequest { deadline_ms: Some(1_000), ..NON_IDEMPOTENT };
+    let (request, link, attempt) = submit_request(&mut harness, test_request)?;
+    harness.accept(link, attempt);
+    harness.now_ms += 5_000;
+    harness.head(link, attempt);
+    check(harness.callers[&request].head_count == 0, &"response started after the deadline")?;
     let cancelled =
         |message: &ToAgent| matches!(message, ToAgent::Cancel { attempt: id } if *id == attempt);
-    check(rig.last_sent(cancelled).is_some(), &"not cancelled")?;
-    rig.expect_refusal(request, RefusalCode::DeadlinePassed, Verdict::MayHaveRun)
+    check(harness.last_sent(cancelled).is_some(), &"not cancelled")?;
+    harness.expect_refusal(request, RefusalCode::DeadlinePassed, Verdict::MayHaveRun)
 }
 
-/// Symptom: an operation that a caller gave up starts afterwards.
-/// Sequence: the deadline passes while the submission is not acknowledged.
-/// Cause: a cancellation that overtakes a submission finds nothing to cancel.
-pub(crate) fn expired_submission_is_revoked(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::new(on);
-    let ask = Ask { deadline_ms: Some(50), ..LODGE };
-    let (request, link, attempt) = submitted(&mut rig, ask)?;
-    rig.wait(60);
-    check(rig.revoked_on(attempt)? == link, &"revoked elsewhere")?;
-    rig.expect_refusal(request, RefusalCode::DeadlinePassed, Verdict::MayHaveRun)
+/// The deadline passes before a submission is acknowledged. A cancellation could overtake the
+/// submission and find nothing to cancel, and the request would start after its caller gave up.
+pub(crate) fn expired_submission_is_revoked(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let test_request = TestRequest { deadline_ms: Some(50), ..NON_IDEMPOTENT };
+    let (request, link, attempt) = submit_request(&mut harness, test_request)?;
+    harness.advance(60);
+    check(harness.revoke_link(attempt)? == link, &"revoked elsewhere")?;
+    harness.expect_refusal(request, RefusalCode::DeadlinePassed, Verdict::MayHaveRun)
 }
 
-/// Symptom: requests fail at a backend server that is being stopped.
-/// Sequence: an agent says that it leaves and hands back what it has queued; the instance list
-/// still names it as live.
-/// Cause: the list lags; the agent knows first.
-pub(crate) fn leaving_agent_gets_no_new_work(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::new(on);
-    let (request, leaving, attempt) = submitted(&mut rig, LODGE)?;
-    rig.accept(leaving, attempt);
-    rig.say(leaving, ToEntry::Leaving);
-    let mut state = load(rig.now_ms, AgentState::Leaving);
+/// An agent reports that it is leaving and returns its queued attempts, while the instance list
+/// still names it as live. New attempts would fail at a backend server that is being stopped.
+pub(crate) fn leaving_agent_gets_no_new_attempts(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let (request, leaving, attempt) = submit_request(&mut harness, NON_IDEMPOTENT)?;
+    harness.accept(leaving, attempt);
+    harness.deliver(leaving, ToEntry::Leaving);
+    let mut state = load(harness.now_ms, AgentState::Leaving);
     state.running = 0;
     let reason = RefusalReason::Leaving;
-    rig.say(leaving, ToEntry::Refused { attempt, reason, retry_at: None, load: state });
-    rig.wait(STEP_MS);
-    let (link, again) = rig.submission(request)?;
+    harness.deliver(leaving, ToEntry::Refused { attempt, reason, retry_at: None, load: state });
+    harness.advance(STEP_MS);
+    let (link, again) = harness.latest_submission(request)?;
     check(link != leaving && again.attempt.ordinal == 1, &(link, again.attempt))?;
     for _ in 0..9 {
-        let (_, next, _) = submitted(&mut rig, LODGE)?;
-        check(rig.links[&next] != rig.links[&leaving], &"new work for a leaving agent")?;
+        let (_, next, _) = submit_request(&mut harness, NON_IDEMPOTENT)?;
+        check(harness.links[&next] != harness.links[&leaving], &"new attempt for a leaving agent")?;
     }
     Ok(())
 }
 
-/// Symptom: a request with an idempotency key runs twice.
-/// Sequence: its attempt is refused and tried again.
-/// Cause: only the home of the key remembers it; any other agent would run it once more.
-pub(crate) fn keyed_request_stays_at_the_home_of_its_key(on: Mechanisms) -> Outcome {
+/// The attempt of a request with an idempotency key is refused and retried. Only the home of the
+/// key remembers it: on any other agent the request could run a second time.
+pub(crate) fn keyed_request_stays_at_the_home_of_its_key(mechanisms: Mechanisms) -> ScenarioResult {
     for key in ["k-1", "k-2", "k-3", "k-4", "k-5", "k-6"] {
-        let mut rig = Rig::new(on);
+        let mut harness = EntryHarness::new(mechanisms);
         let backends = ["s-1", "s-2", "s-3"].map(BackendServerId::new);
         let home = key_home(&backends.each_ref(), KeyDigest::of(&"clerks".into(), key));
         let home = instance_of(home.map_or("", BackendServerId::as_str));
-        let (request, link, attempt) = submitted(&mut rig, Ask { key: Some(key), ..READ })?;
-        check(rig.links[&link] == home, &"first try elsewhere")?;
-        let load = load(rig.now_ms, AgentState::Serving);
+        let (request, link, attempt) =
+            submit_request(&mut harness, TestRequest { key: Some(key), ..IDEMPOTENT })?;
+        check(harness.links[&link] == home, &"first attempt sent elsewhere")?;
+        let load = load(harness.now_ms, AgentState::Serving);
         let reason = RefusalReason::QueueFull;
-        rig.say(link, ToEntry::Refused { attempt, reason, retry_at: None, load });
-        rig.wait(STEP_MS);
-        let (link, again) = rig.submission(request)?;
-        check(again.attempt.ordinal == 1, &"not tried again")?;
-        check(rig.links[&link] == home, &"second try elsewhere")?;
+        harness.deliver(link, ToEntry::Refused { attempt, reason, retry_at: None, load });
+        harness.advance(STEP_MS);
+        let (link, again) = harness.latest_submission(request)?;
+        check(again.attempt.ordinal == 1, &"not retried")?;
+        check(harness.links[&link] == home, &"second attempt sent elsewhere")?;
     }
     Ok(())
 }
 
-/// Symptom: a non-idempotent request runs twice.
-/// Sequence: a refutation of its attempt arrives on the link of another agent.
-/// Cause: the link, not the message, tells which process speaks; only the one that has the attempt
-/// can refute it.
-pub(crate) fn word_of_another_agent_is_not_taken(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::new(on);
-    let (request, old, attempt) = submitted(&mut rig, LODGE)?;
-    rig.accept(old, attempt);
-    let other = rig.links.keys().copied().find(|link| *link != old).ok_or("no other link")?;
-    rig.say(other, ToEntry::Revoked { attempt, outcome: RevokeOutcome::Tombstoned });
-    rig.wait(SILENCE_MS);
-    check(rig.submissions(request).len() == 1, &"submitted twice")?;
-    check(rig.callers[&request].finals() == 0, &rig.callers[&request])
+/// The result of a revocation arrives on the link of another agent. The link identifies the sender,
+/// and only the agent that has the attempt can prove that it did not run. Otherwise the request
+/// could run twice.
+pub(crate) fn revocation_result_from_another_agent_is_ignored(
+    mechanisms: Mechanisms,
+) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let (request, old, attempt) = submit_request(&mut harness, NON_IDEMPOTENT)?;
+    harness.accept(old, attempt);
+    let other = harness.links.keys().copied().find(|link| *link != old).ok_or("no other link")?;
+    harness.deliver(other, ToEntry::Revoked { attempt, outcome: RevokeOutcome::Tombstoned });
+    harness.advance(ACK_OVERDUE_MS);
+    check(harness.submissions(request).len() == 1, &"submitted twice")?;
+    check(harness.callers[&request].final_response_count() == 0, &harness.callers[&request])
 }
 
-/// Symptom: an agent works for nobody.
-/// Sequence: the caller goes away while its request runs.
-/// Cause: nothing else tells the agent.
-pub(crate) fn caller_gone_cancels(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::new(on);
-    let (request, link, attempt) = submitted(&mut rig, LODGE)?;
-    rig.accept(link, attempt);
-    rig.event(EntryEvent::CallerGone { request });
-    rig.chunk(link, attempt, 0, "late");
-    let cancels = rig.sent().filter(|(_, message)| matches!(message, ToAgent::Cancel { .. }));
+/// A caller disconnects while its request runs. Nothing else stops the agent from working on it.
+pub(crate) fn disconnected_caller_cancels_the_attempt(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let (request, link, attempt) = submit_request(&mut harness, NON_IDEMPOTENT)?;
+    harness.accept(link, attempt);
+    harness.handle_event(EntryEvent::CallerGone { request });
+    harness.chunk(link, attempt, 0, "late");
+    let cancels = harness.sent().filter(|(_, message)| matches!(message, ToAgent::Cancel { .. }));
     check(cancels.count() >= 1, &"not cancelled")?;
-    check(rig.callers[&request].finals() == 0, &rig.callers[&request])?;
-    check(rig.callers[&request].bytes.is_empty(), &"bytes for a caller that is gone")
+    check(harness.callers[&request].final_response_count() == 0, &harness.callers[&request])?;
+    check(harness.callers[&request].bytes.is_empty(), &"bytes for a disconnected caller")
 }
 
-/// Symptom: an answer that is complete at the agent never ends at the caller.
-/// Sequence: the end marker is lost on a link that is otherwise alive.
-/// Cause: no acknowledgement is owed for it, so that only the lack of progress shows it.
-pub(crate) fn lost_end_marker_is_asked_for_again(on: Mechanisms) -> Outcome {
-    let mut rig = Rig::new(on);
-    let (request, link, attempt) = submitted(&mut rig, LODGE)?;
-    rig.accept(link, attempt);
-    rig.head(link, attempt);
-    rig.chunk(link, attempt, 0, "a");
-    rig.wait(HEARTBEAT_MS);
-    rig.attached_on(attempt, 1)?;
-    rig.end(link, attempt, 1, 1);
-    rig.expect_answer(request, "a")
+/// The end marker of a response is lost on a link that otherwise works. End markers are not
+/// acknowledged, so that only the lack of progress shows the loss. Otherwise the response would
+/// never end.
+pub(crate) fn lost_end_marker_is_requested_again(mechanisms: Mechanisms) -> ScenarioResult {
+    let mut harness = EntryHarness::new(mechanisms);
+    let (request, link, attempt) = submit_request(&mut harness, NON_IDEMPOTENT)?;
+    harness.accept(link, attempt);
+    harness.head(link, attempt);
+    harness.chunk(link, attempt, 0, "a");
+    harness.advance(HEARTBEAT_MS);
+    harness.attach_link(attempt, 1)?;
+    harness.end(link, attempt, 1, 1);
+    harness.expect_response(request, "a")
 }
