--- a/crates/core/src/entry/settle.rs
+++ b/crates/core/src/entry/settle.rs
@@ -49,7 +49,7 @@
         if !committed && failure.may_retry && self.queue_retry(ctx, request, failure.verdict) {
             return;
         }
-        self.refuse_removed(ctx, request, failure.code, failure.retry_at, failure.detail);
+        self.remove_and_refuse(ctx, request, failure.code, failure.retry_at, failure.detail);
     }
 
     /// Queues a request for another attempt if the verdict and the retry budget permit one. Returns
@@ -91,11 +91,11 @@
         if let Some(attempt) = self.take_attempt(request) {
             self.cancel_attempt(ctx, request, &attempt);
         }
-        self.refuse_removed(ctx, request, code, retry_at, detail);
+        self.remove_and_refuse(ctx, request, code, retry_at, detail);
     }
 
     /// Removes a request without a live attempt, and refuses it.
-    fn refuse_removed(
+    fn remove_and_refuse(
         &mut self,
         ctx: &mut EventContext<'_>,
         request: RequestId,
@@ -223,7 +223,7 @@
             if let Some(row) = self.requests.get_mut(&request) {
                 row.verdict = Verdict::Ran;
             }
-            return self.refuse_removed(ctx, request, RefusalCode::BadAnswer, None, detail);
+            return self.remove_and_refuse(ctx, request, RefusalCode::BadAnswer, None, detail);
         }
         self.remove_request(request);
         self.counters.finished += 1;
--- a/crates/core/tests/entry_random.rs
+++ b/crates/core/tests/entry_random.rs
@@ -393,7 +393,7 @@
     Exercised { name: "suspected", count: |counters| counters.links_suspected },
     Exercised { name: "restarted", count: |counters| counters.agents_restarted },
     Exercised { name: "foreign", count: |counters| counters.dropped_foreign },
-    Exercised { name: "doubled", count: |counters| counters.dropped_doubled },
+    Exercised { name: "duplicates", count: |counters| counters.dropped_doubled },
     Exercised { name: "may have run", count: |counters| counters.refused_may_have_run },
 ];
 
