--- a/crates/core/src/entry/stream.rs
+++ b/crates/core/src/entry/stream.rs
@@ -44,9 +44,10 @@
     /// Sends the head to the caller, right before the first chunk or the end of the response.
     /// Returns whether the response can continue.
     ///
-    /// Many backend servers send the head before they start to work. A head that was sent to the
-    /// caller rules out a retry. Sent immediately, it would turn every failure of an agent during
-    /// that work into a truncated response, although another backend server could still respond.
+    /// Backend servers send the head immediately and work afterwards, and a head that was sent to
+    /// the caller rules out a retry. Forwarded at once, the head would turn every failure of an
+    /// agent during that work into a truncated response, although another backend server could
+    /// still give the whole of it.
     fn deliver_head(&mut self, ctx: &mut EventContext<'_>, request: RequestId) -> bool {
         let Some(live) = self.attempt_mut(request) else { return false };
         let id = live.id;
