--- a/crates/entry/src/cli/on_platform.rs
+++ b/crates/entry/src/cli/on_platform.rs
@@ -1,7 +1,7 @@
 //! The command that runs an entry on the users' platform.
 
 use clap::Command;
-use hickorycross_platform::{SettingsFile, Store, wire_names};
+use hickorycross_platform::{SettingsFile, StoreClient, wire_names};
 use miette::IntoDiagnostic;
 use std::rc::Rc;
 use tokio::task::LocalSet;
@@ -16,9 +16,9 @@
 
 /// Runs until the platform asks to stop.
 pub(crate) fn run() -> miette::Result<()> {
-    let mut file = SettingsFile::of_environment()?;
+    let mut file = SettingsFile::from_environment()?;
     let settings = file.read()?;
-    let store = Rc::new(Store::new(settings.store).into_diagnostic()?);
+    let store = Rc::new(StoreClient::new(settings.store).into_diagnostic()?);
     // A machine gives a part of one core: further threads would only take turns.
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().into_diagnostic()?;
