--- a/crates/agent/src/group/loading.rs
+++ b/crates/agent/src/group/loading.rs
@@ -3,8 +3,8 @@
 use hickorycross_config::{BackendKind, BackendServerId, Document, ModelGroup};
 use hickorycross_core::Now;
 use hickorycross_core::group::{
-    ExpertMap, GroupMember, PAID_WITHIN_MS, StageGate, StageNews, StageVerdict, lacking_experts,
-    loads_within,
+    ExpertMap, GroupMember, LOAD_TIME_BUDGET_MS, StageDecision, StageEvent, StageGate,
+    max_loads_within, missing_experts,
 };
 use hickorycross_core::group::{GroupEvent, MapRef};
 use hickorycross_core::placement::{ServerLoadCap, WeightLoaderSettings};
@@ -37,7 +37,7 @@
 
     /// What one agent can load before a change is abandoned.
     pub(crate) fn server_cap(&self) -> ServerLoadCap {
-        let max_loads = loads_within(&self.loader, PAID_WITHIN_MS);
+        let max_loads = max_loads_within(&self.loader, LOAD_TIME_BUDGET_MS);
         ServerLoadCap {
             ranks_per_server: self.ranks_per_server,
             max_loads: u32::try_from(max_loads).unwrap_or(u32::MAX),
@@ -73,38 +73,38 @@
     ) {
         self.ranks = local_ranks(group, own);
         if self.gate.settings() != pace.loader {
-            self.gate.set_pace(now, pace.loader, self.seed);
+            self.gate.update_settings(now, pace.loader, self.seed);
         }
     }
 
     /// Judges the order to load a map.
-    pub(crate) fn ask(&mut self, now: Now, member: &GroupMember, map: &ExpertMap) -> StageVerdict {
+    pub(crate) fn ask(&mut self, now: Now, member: &GroupMember, map: &ExpertMap) -> StageDecision {
         let reference = map.reference();
         if member.is_needed_now(reference) {
-            return self.gate.pass();
+            return self.gate.bypass();
         }
-        let loads = lacking_experts(self.ranks.clone(), member.loaded_maps(), map);
-        self.gate.ask(now, reference, loads)
+        let loads = missing_experts(self.ranks.clone(), member.loaded_maps(), map);
+        self.gate.request(now, reference, loads)
     }
 
     /// Lets time pass; gives what the member has to know.
     pub(crate) fn tick(&mut self, now: Now) -> Option<GroupEvent> {
         let event = match self.gate.tick(now)? {
-            StageNews::Due(map) => GroupEvent::EngineStageDue(map),
-            StageNews::GaveUp(map) => GroupEvent::EngineStageFailed(map),
+            StageEvent::Due(map) => GroupEvent::EngineStageDue(map),
+            StageEvent::Abandoned(map) => GroupEvent::EngineStageFailed(map),
         };
         Some(event)
     }
 
     /// The engine has loaded a map.
     pub(crate) fn staged(&mut self, map: MapRef) {
-        self.gate.staged(map);
+        self.gate.on_loaded(map);
     }
 
     /// The engine could not load a map; gives what the member has to know.
     pub(crate) fn failed(&mut self, now: Now, map: MapRef) -> GroupEvent {
-        if self.gate.failed(now, map) {
-            GroupEvent::EngineStageHeld(map)
+        if self.gate.on_load_failed(now, map) {
+            GroupEvent::EngineStageDeferred(map)
         } else {
             GroupEvent::EngineStageFailed(map)
         }
--- a/crates/agent/src/group/member.rs
+++ b/crates/agent/src/group/member.rs
@@ -8,7 +8,7 @@
 use hickorycross_core::audit::Change;
 use hickorycross_core::group::{
     EngineOrder, FencedOrder, GroupAction, GroupEvent, GroupMember, GroupMessage, GroupRecord,
-    MapRef, Mechanisms, MemberSettings, Membership, StageVerdict,
+    MapRef, Mechanisms, MemberSettings, Membership, StageDecision,
 };
 use hickorycross_core::placement::{ChangeOutcome, RankLoad};
 use hickorycross_core::{Incarnation, Instance, LinkId, Now};
@@ -69,7 +69,7 @@
             return;
         };
         self.peers.set_members(&group.backend_servers);
-        let membership = Membership::of(stamp, group);
+        let membership = Membership::new(stamp, group);
         match &mut self.running {
             Some(running) if running.group.id == group.id => {
                 let pace = StorePace::of(document, group);
@@ -80,7 +80,7 @@
                 running.loading.adopt(now, pace, group, own);
                 running.pace = pace;
                 running.group = group.clone();
-                self.handle(now, GroupEvent::MembershipRead(membership), audit);
+                self.handle(now, GroupEvent::MembershipUpdated(membership), audit);
             }
             _ => self.running = Some(self.start(now, group, membership, document)),
         }
@@ -256,12 +256,12 @@
         };
         let reference = map.reference();
         let event = match running.loading.ask(now, &running.member, map) {
-            StageVerdict::Give => {
+            StageDecision::Forward => {
                 running.engine.order(order);
                 return None;
             }
-            StageVerdict::Hold => GroupEvent::EngineStageHeld(reference),
-            StageVerdict::Refuse => GroupEvent::EngineStageFailed(reference),
+            StageDecision::Defer => GroupEvent::EngineStageDeferred(reference),
+            StageDecision::Reject => GroupEvent::EngineStageFailed(reference),
         };
         running.engine.withhold(order.id);
         Some(event)
@@ -304,7 +304,7 @@
                 self.peers.send(now, &to, Frame::Group(Box::new(message)));
             }
             GroupAction::Order(order) => return self.order(now, order),
-            GroupAction::Alarm(violation) => {
+            GroupAction::ReportViolation(violation) => {
                 log::error!(target: "group", violation = violation.to_string().as_str(); "halted");
                 audit.push(Change::InvariantViolated { detail: violation.to_string() });
             }
--- a/crates/core/src/group/audit.rs
+++ b/crates/core/src/group/audit.rs
@@ -2,7 +2,7 @@
 
 use super::grant::StepGrant;
 use super::map::MapRef;
-use super::membership::{Epoch, Place};
+use super::membership::{Epoch, MemberIndex};
 use crate::Fencing;
 
 /// An invariant that does not hold. The member that finds one gives no more grants.
@@ -53,7 +53,7 @@
         /// Token of the term.
         fencing: Fencing,
         /// Its candidate.
-        candidate: Place,
+        candidate: MemberIndex,
     },
     /// The member coordinates the group.
     Leads {
--- a/crates/core/src/group/candidate.rs
+++ b/crates/core/src/group/candidate.rs
@@ -5,7 +5,7 @@
 use super::message::{GroupBody, MemberState};
 use super::role::{Candidate, Promise, Role};
 use super::term::{Term, next_fencing};
-use super::timing::{CAMPAIGN_MS, HEARTBEAT_MS, MAX_COUNTED_FAILURES};
+use super::timing::{CAMPAIGN_TIMEOUT_MS, HEARTBEAT_MS, MAX_COUNTED_FAILURES};
 use crate::{Fencing, Now, UnixMs};
 use indexmap::IndexMap;
 
@@ -24,7 +24,7 @@
             term,
             promises: IndexMap::new(),
             prepare_again_at: now.unix_ms,
-            fails_at: now.after(CAMPAIGN_MS),
+            fails_at: now.after(CAMPAIGN_TIMEOUT_MS),
         });
         self.audit(GroupRecord::Campaigned { fencing: term.fencing });
         self.tick_candidate(now);
@@ -49,7 +49,7 @@
             return;
         };
         let fencing = candidate.term.fencing;
-        let places = self.membership.places();
+        let places = self.membership.indices();
         let missing: Vec<_> =
             places.filter(|place| !candidate.promises.contains_key(place)).collect();
         for place in missing {
@@ -82,7 +82,7 @@
         }
         if seen > fencing {
             self.depose();
-            self.campaign_after(now, CAMPAIGN_MS);
+            self.campaign_after(now, CAMPAIGN_TIMEOUT_MS);
         } else if self.is_coordinator() {
             // The member has restarted and forgotten its promise. Only a new round tells what its
             // engine holds.
--- a/crates/core/src/group/coordinator.rs
+++ b/crates/core/src/group/coordinator.rs
@@ -5,13 +5,13 @@
 use super::grant::StepGrant;
 use super::map::{ExpertMap, MapRef};
 use super::member::GroupMember;
-use super::membership::Place;
+use super::membership::MemberIndex;
 use super::merge::{Inheritance, inherit};
 use super::message::{GroupBody, Heartbeat, MemberState};
 use super::pace::StepPace;
 use super::role::{Candidate, Change, Coordinator, MemberRow, Promise, Role};
 use super::term::Term;
-use super::timing::{HEARTBEAT_MS, RESTAGE_MS, STAGE_DEADLINE_MS};
+use super::timing::{HEARTBEAT_MS, STAGE_DEADLINE_MS, STAGE_RETRY_MS};
 use crate::{Incarnation, Now};
 use std::sync::Arc;
 
@@ -170,14 +170,14 @@
         }
     }
 
-    fn targets(&self) -> Vec<(Place, Incarnation)> {
+    fn targets(&self) -> Vec<(MemberIndex, Incarnation)> {
         let Role::Coordinator(coordinator) = &self.role else {
             return Vec::new();
         };
         coordinator.rows.iter().map(|(&place, row)| (place, row.incarnation)).collect()
     }
 
-    fn send_in_term(&mut self, to: Place, target: Incarnation, body: GroupBody) {
+    fn send_in_term(&mut self, to: MemberIndex, target: Incarnation, body: GroupBody) {
         if let Some(fencing) = self.role.term().map(|term| term.fencing) {
             self.send(to, Some(target), fencing, body);
         }
@@ -192,7 +192,7 @@
         }
     }
 
-    fn next_map_for(&mut self, now: Now, place: Place) -> Option<MapRef> {
+    fn next_map_for(&mut self, now: Now, place: MemberIndex) -> Option<MapRef> {
         let Role::Coordinator(coordinator) = &mut self.role else {
             return None;
         };
@@ -205,11 +205,11 @@
             return None;
         }
         row.handed_out = Some(missing);
-        row.stage_again_at = now.after(RESTAGE_MS);
+        row.stage_again_at = now.after(STAGE_RETRY_MS);
         Some(missing)
     }
 
-    fn hand_out(&mut self, now: Now, place: Place, incarnation: Incarnation, map: MapRef) {
+    fn hand_out(&mut self, now: Now, place: MemberIndex, incarnation: Incarnation, map: MapRef) {
         match self.content_of(map) {
             Some(content) => {
                 self.send_in_term(place, incarnation, GroupBody::Stage(content));
@@ -235,7 +235,7 @@
             return;
         };
         let holds = |row: &MemberRow| row.state.engine.resident.contains(&map);
-        let holders: Vec<(Place, Incarnation)> = coordinator
+        let holders: Vec<(MemberIndex, Incarnation)> = coordinator
             .rows
             .iter()
             .filter(|(_, row)| holds(row))
--- a/crates/core/src/group/follower.rs
+++ b/crates/core/src/group/follower.rs
@@ -8,7 +8,7 @@
 use super::message::{GroupBody, GroupMessage, Heartbeat};
 use super::role::{Inspection, PromisedTerm};
 use super::term::Term;
-use super::timing::{CAMPAIGN_MS, INSPECT_MS, LEASE_MS};
+use super::timing::{CAMPAIGN_TIMEOUT_MS, INSPECT_RETRY_MS, LEASE_MS};
 use crate::{Fencing, Now};
 use std::sync::Arc;
 
@@ -45,7 +45,7 @@
         let inspection = Inspection::Done;
         self.promised =
             Some(PromisedTerm { term, inspection, heartbeat: None, is_grant_due: false });
-        self.campaign_after(now, CAMPAIGN_MS);
+        self.campaign_after(now, CAMPAIGN_TIMEOUT_MS);
         self.audit(GroupRecord::Promised { fencing: term.fencing, candidate: term.candidate });
         if self.mechanisms.inspects_engine {
             self.inspect(now);
@@ -61,7 +61,7 @@
     /// term only after it has seen the new token.
     fn inspect(&mut self, now: Now) {
         let id = self.order(EngineOrder::Inspect);
-        let again_at = now.after(INSPECT_MS);
+        let again_at = now.after(INSPECT_RETRY_MS);
         if let Some(promised) = &mut self.promised {
             promised.inspection = Inspection::Pending { id, again_at };
         }
--- a/crates/core/src/group/border.rs
+++ b/crates/core/src/group/interface.rs
@@ -40,7 +40,7 @@
     EngineReported(StepReport),
     /// An order to load a map was kept back until the weight store's rate allows it. The order is
     /// reported failed as well, so that other orders do not wait for it.
-    EngineStageHeld(MapRef),
+    EngineStageDeferred(MapRef),
     /// The map whose load was kept back may be loaded now.
     EngineStageDue(MapRef),
     /// The engine has loaded a map.
@@ -52,7 +52,7 @@
     /// The decision wants another map. Only the coordinator acts on it, and numbers the map anew.
     Propose(ExpertMap),
     /// A document has been adopted. Its group may be unchanged.
-    MembershipRead(Membership),
+    MembershipUpdated(Membership),
 }
 
 /// An output of a group member.
@@ -68,7 +68,7 @@
     /// Give the engine an order; see [`super::engine`] for the rules.
     Order(FencedOrder),
     /// The group has stopped; people must look at it.
-    Alarm(Violation),
+    ReportViolation(Violation),
     /// Write a line of the audit trail.
     Audit(GroupRecord),
 }
--- a/crates/core/src/group/mechanisms.rs
+++ b/crates/core/src/group/mechanisms.rs
@@ -13,7 +13,7 @@
     /// A promise waits until the engine has been inspected; off: the agent's memory is used.
     pub inspects_engine: bool,
     /// An agent beside an engine that ignores fencing waits before it promises.
-    pub settles_orders: bool,
+    pub delays_first_promise: bool,
     /// A new coordinator continues the highest grant that any member holds; off: its own.
     pub continues_highest_grant: bool,
     /// Late heartbeats of the same term are dropped.
@@ -35,7 +35,7 @@
         checks_target: true,
         needs_every_promise: true,
         inspects_engine: true,
-        settles_orders: true,
+        delays_first_promise: true,
         continues_highest_grant: true,
         drops_late_heartbeats: true,
         freezes_old_map: true,
--- a/crates/core/src/group/member.rs
+++ b/crates/core/src/group/member.rs
@@ -1,17 +1,17 @@
 //! One member of a group: the agent that gates its local ranks.
 
 use super::audit::{AbandonReason, GroupRecord, Violation};
-use super::border::{GroupAction, GroupEvent};
 use super::engine::{EngineOrder, OrderId};
 use super::engine_view::EngineView;
+use super::interface::{GroupAction, GroupEvent};
 use super::map::{ExpertMap, MapRef};
 use super::mechanisms::Mechanisms;
-use super::membership::{Membership, Place};
+use super::membership::{MemberIndex, Membership};
 use super::message::{GroupBody, GroupMessage};
 use super::role::{PromisedTerm, Role};
 use super::shelf::MapShelf;
 use super::term::Term;
-use super::timing::{CAMPAIGN_MS, LEASE_MS, ORDER_SETTLE_MS, STAGGER_MS};
+use super::timing::{CAMPAIGN_STAGGER_MS, CAMPAIGN_TIMEOUT_MS, LEASE_MS, PROMISE_DELAY_MS};
 use crate::{Fencing, Incarnation, Now, UnixMs};
 use hickorycross_config::BackendServerId;
 use std::collections::VecDeque;
@@ -41,7 +41,7 @@
     pub(crate) mechanisms: Mechanisms,
     pub(crate) membership: Membership,
     /// None while the membership does not name the backend server.
-    pub(crate) place: Option<Place>,
+    pub(crate) place: Option<MemberIndex>,
     /// No promise is given before this moment.
     pub(crate) promises_at: UnixMs,
     /// Highest token promised in this life, whatever the membership.
@@ -65,10 +65,10 @@
     /// Starts a member that has promised nothing and knows nothing of its engine.
     #[must_use]
     pub fn new(now: Now, settings: MemberSettings) -> Self {
-        let waits = !settings.checks_fencing && settings.mechanisms.settles_orders;
-        let settle_ms = if waits { ORDER_SETTLE_MS } else { 0 };
+        let waits = !settings.checks_fencing && settings.mechanisms.delays_first_promise;
+        let settle_ms = if waits { PROMISE_DELAY_MS } else { 0 };
         let mut member = Self {
-            place: settings.membership.place_of(&settings.server),
+            place: settings.membership.index_of(&settings.server),
             server: settings.server,
             incarnation: settings.incarnation,
             mechanisms: settings.mechanisms,
@@ -140,13 +140,13 @@
             GroupEvent::EngineFailed { id } => self.engine_failed(id),
             GroupEvent::EngineRefused { id, seen } => self.engine_refused(id, seen),
             GroupEvent::EngineReported(report) => self.engine_reported(report),
-            GroupEvent::EngineStageHeld(map) => self.engine_stage_held(map),
+            GroupEvent::EngineStageDeferred(map) => self.engine_stage_held(map),
             GroupEvent::EngineStageDue(map) => self.engine_stage_due(map),
             GroupEvent::EngineStaged(map) => self.engine_staged(map),
             GroupEvent::EngineStageFailed(map) => self.engine_stage_failed(map),
             GroupEvent::EngineMapRead(map) => self.take_content(now, map),
             GroupEvent::Propose(map) => self.propose(now, map),
-            GroupEvent::MembershipRead(membership) => self.read_membership(now, membership),
+            GroupEvent::MembershipUpdated(membership) => self.read_membership(now, membership),
         }
     }
 
@@ -212,8 +212,8 @@
         }
         self.depose();
         self.promised = None;
-        self.place = self.membership.place_of(&self.server);
-        self.campaign_after(now, CAMPAIGN_MS);
+        self.place = self.membership.index_of(&self.server);
+        self.campaign_after(now, CAMPAIGN_TIMEOUT_MS);
         self.audit(GroupRecord::MembershipAdopted { epoch: self.membership.epoch });
         if self.place.is_none() {
             self.order(EngineOrder::Grant { grants: Vec::new() });
@@ -238,13 +238,13 @@
     pub(crate) fn campaign_after(&mut self, now: Now, span_ms: u64) {
         let place = self.place.map_or(0, |place| u64::from(place.0));
         let failed_ms = u64::from(self.failed_campaigns) * LEASE_MS;
-        self.campaign_at = now.after(span_ms + place * STAGGER_MS + failed_ms);
+        self.campaign_at = now.after(span_ms + place * CAMPAIGN_STAGGER_MS + failed_ms);
     }
 
     /// Gives no more grants and takes back those held.
     pub(crate) fn halt(&mut self, violation: Option<Violation>) {
         if let Some(violation) = violation {
-            self.actions.push(GroupAction::Alarm(violation));
+            self.actions.push(GroupAction::ReportViolation(violation));
         }
         self.is_halted = true;
         self.order(EngineOrder::Grant { grants: Vec::new() });
@@ -264,7 +264,7 @@
     /// Sends a body to a place under a token; the member itself is a place like others.
     pub(crate) fn send(
         &mut self,
-        to: Place,
+        to: MemberIndex,
         target: Option<Incarnation>,
         fencing: Fencing,
         body: GroupBody,
--- a/crates/core/src/group/membership.rs
+++ b/crates/core/src/group/membership.rs
@@ -9,9 +9,9 @@
 /// Position of a backend server in the group's list; the lowest live one normally coordinates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Place(pub u8);
+pub struct MemberIndex(pub u8);
 
-impl Place {
+impl MemberIndex {
     /// The place as an index into the membership's table.
     #[must_use]
     pub fn index(self) -> usize {
@@ -19,7 +19,7 @@
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for MemberIndex {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -53,7 +53,7 @@
     pub epoch: Epoch,
     /// The group.
     pub group: ModelGroupId,
-    /// Backend servers in rank order; the index is the [`Place`].
+    /// Backend servers in rank order; the index is the [`MemberIndex`].
     pub servers: Vec<BackendServerId>,
     /// Ranks on each backend server.
     pub ranks_per_server: u16,
@@ -64,7 +64,7 @@
 impl Membership {
     /// Reads the membership out of the document's group.
     #[must_use]
-    pub fn of(stamp: Stamp, group: &ModelGroup) -> Self {
+    pub fn new(stamp: Stamp, group: &ModelGroup) -> Self {
         let servers = group.backend_servers.len();
         let shape = MapShape {
             ranks: u16::try_from(servers)
@@ -84,20 +84,20 @@
 
     /// The place of a backend server, if it is a member.
     #[must_use]
-    pub fn place_of(&self, server: &BackendServerId) -> Option<Place> {
+    pub fn index_of(&self, server: &BackendServerId) -> Option<MemberIndex> {
         let index = self.servers.iter().position(|member| member == server)?;
-        u8::try_from(index).ok().map(Place)
+        u8::try_from(index).ok().map(MemberIndex)
     }
 
     /// The backend server at a place.
     #[must_use]
-    pub fn server_at(&self, place: Place) -> Option<&BackendServerId> {
+    pub fn server_at(&self, place: MemberIndex) -> Option<&BackendServerId> {
         self.servers.get(place.index())
     }
 
     /// All places, lowest first.
-    pub fn places(&self) -> impl Iterator<Item = Place> + use<> {
-        (0..=u8::MAX).take(self.servers.len()).map(Place)
+    pub fn indices(&self) -> impl Iterator<Item = MemberIndex> + use<> {
+        (0..=u8::MAX).take(self.servers.len()).map(MemberIndex)
     }
 }
 
--- a/crates/core/src/group/message.rs
+++ b/crates/core/src/group/message.rs
@@ -3,7 +3,7 @@
 use super::engine::{EngineState, StepReport};
 use super::grant::StepGrant;
 use super::map::{ExpertMap, MapRef};
-use super::membership::{Epoch, Place};
+use super::membership::{Epoch, MemberIndex};
 use crate::{Fencing, Incarnation};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -16,7 +16,7 @@
     /// The sender's membership; a receiver with another one does not act on the message.
     pub epoch: Epoch,
     /// The sender.
-    pub from: Place,
+    pub from: MemberIndex,
     /// The sender's life.
     pub sender: Incarnation,
     /// The life that it is meant for; none where the sender cannot know it yet.
--- a/crates/core/src/group/mod.rs
+++ b/crates/core/src/group/mod.rs
@@ -9,13 +9,13 @@
 //! The argument for safety stands in `docs/design/group-agreement.md`.
 
 mod audit;
-mod border;
 mod candidate;
 mod coordinator;
 pub mod engine;
 mod engine_view;
 mod follower;
 mod grant;
+mod interface;
 mod map;
 mod mechanisms;
 mod member;
@@ -30,15 +30,15 @@
 pub mod timing;
 
 pub use audit::{AbandonReason, GroupRecord, ProposalFault, Violation};
-pub use border::{GroupAction, GroupEvent};
 pub use engine::{EngineOrder, EngineState, FencedOrder, OrderId, StepReport};
 pub use grant::{StepGrant, find_conflict};
+pub use interface::{GroupAction, GroupEvent};
 pub use map::{ExpertMap, LayerPlacement, MapDigest, MapRef, MapShape};
 #[doc(hidden)]
 pub use mechanisms::Mechanisms;
 pub use member::{GroupMember, MemberSettings};
-pub use membership::{Epoch, Membership, Place};
+pub use membership::{Epoch, MemberIndex, Membership};
 pub use message::{GroupBody, GroupMessage, Heartbeat, MemberState};
 pub use stage_gate::{
-    PAID_WITHIN_MS, StageGate, StageNews, StageVerdict, lacking_experts, loads_within,
+    LOAD_TIME_BUDGET_MS, StageDecision, StageEvent, StageGate, max_loads_within, missing_experts,
 };
--- a/crates/core/src/group/role.rs
+++ b/crates/core/src/group/role.rs
@@ -3,7 +3,7 @@
 use super::engine::OrderId;
 use super::grant::StepGrant;
 use super::map::{ExpertMap, MapRef};
-use super::membership::Place;
+use super::membership::MemberIndex;
 use super::message::{Heartbeat, MemberState};
 use super::pace::StepPace;
 use super::term::Term;
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub(crate) struct Candidate {
     pub(crate) term: Term,
-    pub(crate) promises: IndexMap<Place, Promise>,
+    pub(crate) promises: IndexMap<MemberIndex, Promise>,
     pub(crate) prepare_again_at: UnixMs,
     /// Passes to [`UnixMs::NEVER`] once the failure has been counted.
     pub(crate) fails_at: UnixMs,
@@ -72,7 +72,7 @@
     pub(crate) term: Term,
     pub(crate) sequence: u64,
     pub(crate) heartbeat_at: UnixMs,
-    pub(crate) rows: IndexMap<Place, MemberRow>,
+    pub(crate) rows: IndexMap<MemberIndex, MemberRow>,
     /// The map in use and, from a commit until all have stepped on it, the next one.
     pub(crate) grants: Vec<StepGrant>,
     pub(crate) granted: Vec<StepGrant>,
--- a/crates/core/src/group/stage_gate.rs
+++ b/crates/core/src/group/stage_gate.rs
@@ -17,26 +17,26 @@
 ///
 /// The engine's reading may take as long again when all agents load at once; the rest is left for
 /// refusals and for messages on their way.
-pub const PAID_WITHIN_MS: u64 = STAGE_DEADLINE_MS / 3;
+pub const LOAD_TIME_BUDGET_MS: u64 = STAGE_DEADLINE_MS / 3;
 
 /// What the core is to do with an order to load a map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StageVerdict {
+pub enum StageDecision {
     /// Give it to the engine now.
-    Give,
+    Forward,
     /// Keep it back; [`StageGate::tick`] tells when it is due.
-    Hold,
+    Defer,
     /// Its loads cannot be paid for before the change is abandoned.
-    Refuse,
+    Reject,
 }
 
 /// What became of an order that was kept back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StageNews {
+pub enum StageEvent {
     /// The share covers the map's loads now.
     Due(MapRef),
     /// The map was not loaded in time.
-    GaveUp(MapRef),
+    Abandoned(MapRef),
 }
 
 /// The gate before one engine.
@@ -81,7 +81,7 @@
     }
 
     /// Follows a document with another pace; an order that is held starts its turns anew.
-    pub fn set_pace(&mut self, now: Now, settings: WeightLoaderSettings, seed: u64) {
+    pub fn update_settings(&mut self, now: Now, settings: WeightLoaderSettings, seed: u64) {
         self.settings = settings;
         self.loader = WeightLoader::new(settings, seed);
         let held = self.stage.take_if(|stage| stage.progress == Progress::Held);
@@ -95,45 +95,45 @@
     ///
     /// A rank without the map of a grant stops the whole group. Held back, such a load would be
     /// noticed as requests that hang although every engine lives.
-    pub fn pass(&mut self) -> StageVerdict {
+    pub fn bypass(&mut self) -> StageDecision {
         self.stage = None;
         self.loader.withdraw();
-        StageVerdict::Give
+        StageDecision::Forward
     }
 
     /// Judges the order to load a map for which the engine lacks `loads`.
-    pub fn ask(&mut self, now: Now, map: MapRef, loads: Vec<WeightLoad>) -> StageVerdict {
+    pub fn request(&mut self, now: Now, map: MapRef, loads: Vec<WeightLoad>) -> StageDecision {
         match self.progress_of(map) {
-            Some(Progress::Held) => StageVerdict::Hold,
+            Some(Progress::Held) => StageDecision::Defer,
             Some(Progress::Due(last)) => {
                 self.set_progress(Progress::Given(last));
-                StageVerdict::Give
+                StageDecision::Forward
             }
             // The order is repeated only while the engine neither holds nor loads the map.
             Some(Progress::Given(last)) => {
                 self.refused(now, last);
-                StageVerdict::Hold
+                StageDecision::Defer
             }
             None => self.first_asked(now, map, loads),
         }
     }
 
     /// Learns that the engine could not load a map. Whether the gate tries again.
-    pub fn failed(&mut self, now: Now, map: MapRef) -> bool {
+    pub fn on_load_failed(&mut self, now: Now, map: MapRef) -> bool {
         let Some(Progress::Given(last)) = self.progress_of(map) else { return false };
         self.refused(now, last);
         true
     }
 
     /// Learns that the engine has loaded a map.
-    pub fn staged(&mut self, map: MapRef) {
+    pub fn on_loaded(&mut self, map: MapRef) {
         if self.stage.take_if(|stage| stage.map == map).is_some() {
             self.loader.finish_change(map.version);
         }
     }
 
     /// Lets turns pass. Tells once when the order held is due, or given up.
-    pub fn tick(&mut self, now: Now) -> Option<StageNews> {
+    pub fn tick(&mut self, now: Now) -> Option<StageEvent> {
         let map = self.stage.as_ref()?.map;
         if self.progress_of(map) != Some(Progress::Held) {
             // What the engine has begun ends by its own answer, or with the coordinator's change.
@@ -142,27 +142,27 @@
         self.take_turns(now);
         match self.progress_of(map) {
             Some(Progress::Held) => None,
-            Some(Progress::Due(_) | Progress::Given(_)) => Some(StageNews::Due(map)),
-            None => Some(StageNews::GaveUp(map)),
+            Some(Progress::Due(_) | Progress::Given(_)) => Some(StageEvent::Due(map)),
+            None => Some(StageEvent::Abandoned(map)),
         }
     }
 
-    fn first_asked(&mut self, now: Now, map: MapRef, loads: Vec<WeightLoad>) -> StageVerdict {
+    fn first_asked(&mut self, now: Now, map: MapRef, loads: Vec<WeightLoad>) -> StageDecision {
         if loads.is_empty() {
-            return self.pass();
+            return self.bypass();
         }
-        if loads.len() as u64 > loads_within(&self.settings, STAGE_DEADLINE_MS) {
-            self.pass();
-            return StageVerdict::Refuse;
+        if loads.len() as u64 > max_loads_within(&self.settings, STAGE_DEADLINE_MS) {
+            self.bypass();
+            return StageDecision::Reject;
         }
         let give_up_at = now.after(STAGE_DEADLINE_MS);
         self.begin(now, GatedStage { map, loads, give_up_at, progress: Progress::Held });
         match self.progress_of(map) {
             Some(Progress::Due(last)) => {
                 self.set_progress(Progress::Given(last));
-                StageVerdict::Give
+                StageDecision::Forward
             }
-            _ => StageVerdict::Hold,
+            _ => StageDecision::Defer,
         }
     }
 
@@ -236,7 +236,7 @@
 
 /// Experts that an agent's fair share pays for within a span.
 #[must_use]
-pub fn loads_within(settings: &WeightLoaderSettings, span_ms: u64) -> u64 {
+pub fn max_loads_within(settings: &WeightLoaderSettings, span_ms: u64) -> u64 {
     span_ms / settings.load_interval_ms().max(1)
 }
 
@@ -244,7 +244,7 @@
 ///
 /// Loaded maps whose content the agent does not know are left out, so that it rather waits too long.
 #[must_use]
-pub fn lacking_experts<'a>(
+pub fn missing_experts<'a>(
     ranks: Range<u16>,
     loaded: impl Iterator<Item = &'a ExpertMap> + Clone,
     wanted: &ExpertMap,
--- a/crates/core/src/group/term.rs
+++ b/crates/core/src/group/term.rs
@@ -1,6 +1,6 @@
 //! Terms: who may coordinate, under which fencing token.
 
-use super::membership::{Epoch, Place};
+use super::membership::{Epoch, MemberIndex};
 use crate::{Fencing, Incarnation};
 
 /// Numbers of one round; a token is `round * TOKENS_PER_ROUND + place`.
@@ -14,7 +14,7 @@
 pub(crate) struct Term {
     pub(crate) fencing: Fencing,
     pub(crate) epoch: Epoch,
-    pub(crate) candidate: Place,
+    pub(crate) candidate: MemberIndex,
     pub(crate) incarnation: Incarnation,
 }
 
@@ -29,7 +29,7 @@
 }
 
 /// The lowest token above `seen` that only `place` draws.
-pub(crate) const fn next_fencing(seen: Fencing, place: Place) -> Fencing {
+pub(crate) const fn next_fencing(seen: Fencing, place: MemberIndex) -> Fencing {
     let round = seen.0 / TOKENS_PER_ROUND + 1;
     Fencing(round * TOKENS_PER_ROUND + place.0 as u64)
 }
--- a/crates/core/src/group/timing.rs
+++ b/crates/core/src/group/timing.rs
@@ -12,23 +12,23 @@
 pub const LEASE_MS: u64 = 1_000;
 
 /// Further silence that each place waits, so that the lowest live one campaigns alone.
-pub const STAGGER_MS: u64 = 100;
+pub const CAMPAIGN_STAGGER_MS: u64 = 100;
 
 /// Time that a candidate is given to collect its promises before another member campaigns.
-pub const CAMPAIGN_MS: u64 = 600;
+pub const CAMPAIGN_TIMEOUT_MS: u64 = 600;
 
 /// Most failed campaigns that lengthen a member's wait.
 pub const MAX_COUNTED_FAILURES: u32 = 3;
 
 /// Time after its start in which an agent promises nothing, beside an engine that ignores fencing
 /// tokens: an order of its predecessor may still sit in the engine's receive buffer.
-pub const ORDER_SETTLE_MS: u64 = 500;
+pub const PROMISE_DELAY_MS: u64 = 500;
 
 /// Time after which a failed inspection is repeated.
-pub const INSPECT_MS: u64 = 200;
+pub const INSPECT_RETRY_MS: u64 = 200;
 
 /// Time after which an unacknowledged map is handed out again.
-pub const RESTAGE_MS: u64 = 1_000;
+pub const STAGE_RETRY_MS: u64 = 1_000;
 
 /// Time for all members to acknowledge the map of a change.
 pub const STAGE_DEADLINE_MS: u64 = 30_000;
@@ -53,8 +53,8 @@
 /// each handed out again once.
 #[must_use]
 pub const fn stall_bound_ms(members: u64, delay_ms: u64, stage_ms: u64) -> u64 {
-    let wait_ms = LEASE_MS * (1 + MAX_COUNTED_FAILURES as u64) + members * STAGGER_MS;
-    let campaigns_ms = 2 * (CAMPAIGN_MS + INSPECT_MS + HEARTBEAT_MS + 4 * delay_ms);
-    let staging_ms = 2 * (stage_ms + RESTAGE_MS + HEARTBEAT_MS + 4 * delay_ms);
-    wait_ms + campaigns_ms + staging_ms + ORDER_SETTLE_MS
+    let wait_ms = LEASE_MS * (1 + MAX_COUNTED_FAILURES as u64) + members * CAMPAIGN_STAGGER_MS;
+    let campaigns_ms = 2 * (CAMPAIGN_TIMEOUT_MS + INSPECT_RETRY_MS + HEARTBEAT_MS + 4 * delay_ms);
+    let staging_ms = 2 * (stage_ms + STAGE_RETRY_MS + HEARTBEAT_MS + 4 * delay_ms);
+    wait_ms + campaigns_ms + staging_ms + PROMISE_DELAY_MS
 }
--- a/crates/core/tests/group_faults.rs
+++ b/crates/core/tests/group_faults.rs
@@ -506,8 +506,8 @@
         shows_in: Shows::Storm,
     },
     Mutation {
-        guard: "settles_orders",
-        turn_off: |m| m.settles_orders = false,
+        guard: "delays_first_promise",
+        turn_off: |m| m.delays_first_promise = false,
         shows_in: Shows::Script(group_scripts::order_of_a_dead_agent),
     },
     Mutation {
--- a/crates/core/tests/group_stage_gate.rs
+++ b/crates/core/tests/group_stage_gate.rs
@@ -4,7 +4,8 @@
 use hickorycross_core::Now;
 use hickorycross_core::group::timing::STAGE_DEADLINE_MS;
 use hickorycross_core::group::{
-    ExpertMap, MapRef, MapShape, StageGate, StageNews, StageVerdict, lacking_experts, loads_within,
+    ExpertMap, MapRef, MapShape, StageDecision, StageEvent, StageGate, max_loads_within,
+    missing_experts,
 };
 use hickorycross_core::placement::{WeightLoad, WeightLoaderSettings};
 
@@ -30,7 +31,7 @@
 }
 
 /// Ticks until there is news; gives the moment.
-fn news(gate: &mut StageGate, from_ms: u64) -> (u64, StageNews) {
+fn news(gate: &mut StageGate, from_ms: u64) -> (u64, StageEvent) {
     let ticks = (from_ms..=from_ms + 2 * STAGE_DEADLINE_MS).step_by(TICK_MS as usize);
     let mut told = ticks.filter_map(|ms| gate.tick(Now::at(ms)).map(|news| (ms, news)));
     told.next().expect("news")
@@ -56,13 +57,13 @@
     ];
     for PaceCase { name, settings, waits_ms } in cases {
         let mut gate = StageGate::new(settings, SEED);
-        let verdict = gate.ask(Now::at(START_MS), reference(1), loads(LOADS));
-        expect_that!(verdict, eq(StageVerdict::Hold), "{name}");
+        let verdict = gate.request(Now::at(START_MS), reference(1), loads(LOADS));
+        expect_that!(verdict, eq(StageDecision::Defer), "{name}");
         let (due_ms, told) = news(&mut gate, START_MS);
-        expect_that!(told, eq(StageNews::Due(reference(1))), "{name}");
+        expect_that!(told, eq(StageEvent::Due(reference(1))), "{name}");
         expect_that!(due_ms - START_MS, eq(waits_ms), "{name}");
-        let verdict = gate.ask(Now::at(due_ms), reference(1), loads(LOADS));
-        expect_that!(verdict, eq(StageVerdict::Give), "{name}");
+        let verdict = gate.request(Now::at(due_ms), reference(1), loads(LOADS));
+        expect_that!(verdict, eq(StageDecision::Forward), "{name}");
         expect_that!(gate.tick(Now::at(due_ms + 60_000)), none(), "{name}");
     }
 }
@@ -81,12 +82,12 @@
     for gate in &mut gates {
         let mut now_ms = START_MS;
         for version in 1..=MAPS {
-            let verdict = gate.ask(Now::at(now_ms), reference(version), loads(LOADS));
-            assert_that!(verdict, eq(StageVerdict::Hold));
+            let verdict = gate.request(Now::at(now_ms), reference(version), loads(LOADS));
+            assert_that!(verdict, eq(StageDecision::Defer));
             (now_ms, _) = news(gate, now_ms);
-            let verdict = gate.ask(Now::at(now_ms), reference(version), loads(LOADS));
-            assert_that!(verdict, eq(StageVerdict::Give));
-            gate.staged(reference(version));
+            let verdict = gate.request(Now::at(now_ms), reference(version), loads(LOADS));
+            assert_that!(verdict, eq(StageDecision::Forward));
+            gate.on_loaded(reference(version));
         }
         end_ms = end_ms.max(now_ms);
     }
@@ -112,42 +113,42 @@
 #[gtest]
 fn a_refused_load_backs_off_and_keeps_its_turn() {
     let cases = [
-        RefusalCase { name: "reported", spoil: |gate, now| gate.failed(now, reference(1)) },
+        RefusalCase { name: "reported", spoil: |gate, now| gate.on_load_failed(now, reference(1)) },
         RefusalCase {
             name: "ordered again",
-            spoil: |gate, now| gate.ask(now, reference(1), loads(1)) == StageVerdict::Hold,
+            spoil: |gate, now| gate.request(now, reference(1), loads(1)) == StageDecision::Defer,
         },
     ];
     for RefusalCase { name, spoil } in cases {
         let mut gate = StageGate::new(settings(10_000, 1), SEED);
         let mut now_ms = START_MS;
-        let given = gate.ask(Now::at(now_ms), reference(1), loads(1));
-        expect_that!(given, eq(StageVerdict::Give), "{name}");
+        let given = gate.request(Now::at(now_ms), reference(1), loads(1));
+        expect_that!(given, eq(StageDecision::Forward), "{name}");
         let mut waits = Vec::new();
         let gave_up_ms = loop {
             expect_true!(spoil(&mut gate, Now::at(now_ms)));
             let (at_ms, told) = news(&mut gate, now_ms);
-            if told == StageNews::GaveUp(reference(1)) {
+            if told == StageEvent::Abandoned(reference(1)) {
                 break at_ms;
             }
             waits.push(at_ms - now_ms);
             now_ms = at_ms;
-            let given = gate.ask(Now::at(now_ms), reference(1), loads(1));
-            expect_that!(given, eq(StageVerdict::Give), "{name}");
+            let given = gate.request(Now::at(now_ms), reference(1), loads(1));
+            expect_that!(given, eq(StageDecision::Forward), "{name}");
         };
         expect_that!(gave_up_ms - START_MS, eq(STAGE_DEADLINE_MS), "{name}");
         expect_that!(waits[3], gt(4 * waits[0]), "{name}: longer at first: {waits:?}");
         let last = *waits.last().expect("waits");
         expect_that!(last, le(100 + TICK_MS), "{name}: then a turn: {waits:?}");
-        let next = gate.ask(Now::at(gave_up_ms + 1_000), reference(2), loads(1));
-        expect_that!(next, eq(StageVerdict::Give), "{name}: a later change");
+        let next = gate.request(Now::at(gave_up_ms + 1_000), reference(2), loads(1));
+        expect_that!(next, eq(StageDecision::Forward), "{name}: a later change");
     }
 }
 
 struct PassCase {
     name: &'static str,
-    verdict: fn(&mut StageGate) -> StageVerdict,
-    expected: StageVerdict,
+    verdict: fn(&mut StageGate) -> StageDecision,
+    expected: StageDecision,
 }
 
 // Symptom: a group that could step stands still, or a change is held that can never be loaded.
@@ -155,28 +156,33 @@
 // Cause: an order waits for a turn that it does not need, or that comes too late.
 #[gtest]
 fn only_orders_that_a_wait_helps_are_held() {
-    let deadline_loads = u16::try_from(loads_within(&settings(1_000, 1), STAGE_DEADLINE_MS));
+    let deadline_loads = u16::try_from(max_loads_within(&settings(1_000, 1), STAGE_DEADLINE_MS));
     let most = deadline_loads.expect("a small number");
     expect_that!(most, eq(30));
-    let ask = |gate: &mut StageGate, count| gate.ask(Now::at(START_MS), reference(2), loads(count));
+    let ask =
+        |gate: &mut StageGate, count| gate.request(Now::at(START_MS), reference(2), loads(count));
     let cases = [
-        PassCase { name: "needed now", verdict: StageGate::pass, expected: StageVerdict::Give },
+        PassCase {
+            name: "needed now",
+            verdict: StageGate::bypass,
+            expected: StageDecision::Forward,
+        },
         PassCase {
             name: "no load",
-            verdict: |g| g.ask(Now::at(START_MS), reference(2), vec![]),
-            expected: StageVerdict::Give,
+            verdict: |g| g.request(Now::at(START_MS), reference(2), vec![]),
+            expected: StageDecision::Forward,
         },
         PassCase {
             name: "too much",
-            verdict: |g| g.ask(Now::at(START_MS), reference(2), loads(31)),
-            expected: StageVerdict::Refuse,
+            verdict: |g| g.request(Now::at(START_MS), reference(2), loads(31)),
+            expected: StageDecision::Reject,
         },
     ];
     for PassCase { name, verdict, expected } in cases {
         let mut gate = StageGate::new(settings(1_000, 1), SEED);
-        expect_that!(ask(&mut gate, most), eq(StageVerdict::Hold), "{name}");
+        expect_that!(ask(&mut gate, most), eq(StageDecision::Defer), "{name}");
         let mut gate = StageGate::new(settings(1_000, 1), SEED);
-        gate.ask(Now::at(START_MS), reference(1), loads(LOADS));
+        gate.request(Now::at(START_MS), reference(1), loads(LOADS));
         expect_that!(verdict(&mut gate), eq(expected), "{name}");
         expect_that!(gate.tick(Now::at(START_MS + 60_000)), none(), "{name}: the other is gone");
     }
@@ -188,12 +194,12 @@
 #[gtest]
 fn a_held_order_follows_another_pace() {
     let mut gate = StageGate::new(settings(10_000, 1), SEED);
-    gate.ask(Now::at(START_MS), reference(1), loads(LOADS));
-    gate.set_pace(Now::at(START_MS), settings(2_000, 1), SEED);
-    expect_that!(news(&mut gate, START_MS), eq((START_MS + 2_500, StageNews::Due(reference(1)))));
-    gate.set_pace(Now::at(START_MS), settings(1, 1), SEED);
-    let verdict = gate.ask(Now::at(START_MS), reference(2), loads(1));
-    expect_that!(verdict, eq(StageVerdict::Refuse));
+    gate.request(Now::at(START_MS), reference(1), loads(LOADS));
+    gate.update_settings(Now::at(START_MS), settings(2_000, 1), SEED);
+    expect_that!(news(&mut gate, START_MS), eq((START_MS + 2_500, StageEvent::Due(reference(1)))));
+    gate.update_settings(Now::at(START_MS), settings(1, 1), SEED);
+    let verdict = gate.request(Now::at(START_MS), reference(2), loads(1));
+    expect_that!(verdict, eq(StageDecision::Reject));
 }
 
 #[gtest]
@@ -203,7 +209,7 @@
     wanted.layers[1].experts_of_rank[2] = vec![2, 6, 7];
     wanted.layers[1].experts_of_rank[3] = vec![3, 0];
     let lacking =
-        |ranks, loaded: &[&ExpertMap]| lacking_experts(ranks, loaded.iter().copied(), &wanted);
+        |ranks, loaded: &[&ExpertMap]| missing_experts(ranks, loaded.iter().copied(), &wanted);
     let load = |expert, rank| WeightLoad { layer: 1, expert, rank };
     expect_that!(lacking(0..2, &[&present]), is_empty());
     expect_that!(lacking(2..4, &[&present]), elements_are![eq(&load(7, 2)), eq(&load(0, 3))]);
--- a/crates/core/tests/support/group_fleet.rs
+++ b/crates/core/tests/support/group_fleet.rs
@@ -153,7 +153,7 @@
         expert_bytes: 1,
         expert_slots_per_rank: 12,
     };
-    Membership::of(Stamp { revision, digest: Digest(revision) }, &group)
+    Membership::new(Stamp { revision, digest: Digest(revision) }, &group)
 }
 
 impl Fleet {
@@ -455,7 +455,7 @@
                 if known.epoch.revision < membership.epoch.revision {
                     known.clone_from(&membership);
                 }
-                self.handle(&to, GroupEvent::MembershipRead(membership));
+                self.handle(&to, GroupEvent::MembershipUpdated(membership));
             }
             Delivery::Tick { to, incarnation } => self.tick(to, incarnation),
             Delivery::Step => self.step(),
@@ -496,7 +496,9 @@
                 agent.orders.push_back(order);
                 self.send_order(from);
             }
-            GroupAction::Alarm(violation) => self.findings.push(Finding::Alarm(violation)),
+            GroupAction::ReportViolation(violation) => {
+                self.findings.push(Finding::Alarm(violation))
+            }
             GroupAction::Audit(record) => {
                 self.records.push((self.now_ms, from.clone(), record));
             }
@@ -569,7 +571,7 @@
             && self.holds_loads
         {
             self.held_loads.push((to.clone(), map.reference()));
-            events.push(GroupEvent::EngineStageHeld(map.reference()));
+            events.push(GroupEvent::EngineStageDeferred(map.reference()));
             events.push(GroupEvent::EngineFailed { id });
         } else if server.engine.life != life {
             events.push(GroupEvent::EngineFailed { id });
--- a/crates/lab/src/capacity/group.rs
+++ b/crates/lab/src/capacity/group.rs
@@ -79,7 +79,7 @@
 impl Group {
     fn new(members: u32) -> Self {
         let stamp = Stamp { revision: 400_000, digest: Digest(u64::MAX / 5) };
-        let membership = Membership::of(stamp, &group(members));
+        let membership = Membership::new(stamp, &group(members));
         let rows = membership.servers.iter().zip(0..).map(|(server, number)| {
             let settings = MemberSettings {
                 server: server.clone(),
@@ -166,7 +166,7 @@
                 let events = self.rows[from].engine.carry_out(order);
                 queue.extend(events.into_iter().map(|event| (from.clone(), event)));
             }
-            GroupAction::Alarm(_) | GroupAction::Audit(_) => {}
+            GroupAction::ReportViolation(_) | GroupAction::Audit(_) => {}
         }
     }
 
@@ -241,7 +241,7 @@
 /// Bytes of one whole map as it is handed out: 60 layers, 256 experts, one replica each.
 pub(super) fn map_bytes(members: u32) -> usize {
     let stamp = Stamp { revision: 1, digest: Digest(1) };
-    let membership = Membership::of(stamp, &group(members));
+    let membership = Membership::new(stamp, &group(members));
     let map = hickorycross_core::group::ExpertMap::uniform(1, membership.shape);
     postcard::to_stdvec(&map).map_or(0, |bytes| bytes.len())
 }
