--- a/crates/core/src/group/audit.rs
+++ b/crates/core/src/group/audit.rs
@@ -1,27 +1,27 @@
-//! Records for the audit trail, and violations of the group's invariants.
+//! Audit records of a group member, and violations of the group's invariants.
 
 use super::grant::StepGrant;
 use super::map::MapRef;
 use super::membership::{Epoch, MemberIndex};
 use crate::Fencing;
 
-/// An invariant that does not hold. The member that finds one gives no more grants.
+/// Violation of an invariant. The member that detects it halts and gives no more grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// A rank used another map than the one granted for the step.
-    #[error("rank {rank} made step {step} on map {used}, granted was {granted}")]
+    /// A rank made a step on a map other than the one granted for it.
+    #[error("rank {rank} made step {step} on map {used}, but map {granted} was granted")]
     WrongMap {
         /// The rank.
         rank: u16,
         /// The step.
         step: u64,
-        /// The map that it used.
+        /// Map that the rank used.
         used: MapRef,
-        /// The map that was granted.
+        /// Map that was granted.
         granted: MapRef,
     },
-    /// A rank made a step beyond everything granted.
-    #[error("rank {rank} made step {step}, granted were steps up to {through_step}")]
+    /// A rank made a step after the last one granted.
+    #[error("rank {rank} made step {step}, but steps were granted only up to {through_step}")]
     StepWithoutGrant {
         /// The rank.
         rank: u16,
@@ -30,99 +30,99 @@
         /// Last step granted.
         through_step: u64,
     },
-    /// Two grants cover one step with different maps.
+    /// Two grants cover the same step with different maps.
     #[error("grants of maps {} and {} overlap at step {}", held.map, offered.map, offered.from_step)]
     ConflictingGrants {
-        /// The grant held.
+        /// Grant that is already held.
         held: StepGrant,
-        /// The other grant.
+        /// Grant that conflicts with it.
         offered: StepGrant,
     },
 }
 
-/// A line of the audit trail.
+/// Event in the life of a group that is recorded for the audit trail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GroupRecord {
-    /// The member asks for promises.
+    /// The member has started a campaign and asks for promises.
     Campaigned {
         /// Token of the term.
         fencing: Fencing,
     },
     /// The member has promised to follow a term.
     Promised {
-        /// Token of the term.
+        /// Fencing token of the term.
         fencing: Fencing,
-        /// Its candidate.
+        /// Candidate of the term.
         candidate: MemberIndex,
     },
-    /// The member coordinates the group.
+    /// The member has become coordinator.
     Leads {
         /// Token of the term.
         fencing: Fencing,
     },
-    /// The member no longer coordinates the group.
+    /// The member is no longer coordinator.
     Deposed {
-        /// Token of the term that ended.
+        /// Fencing token of the term that ended.
         fencing: Fencing,
     },
-    /// The coordinator prepares a change.
+    /// The coordinator has started to prepare a map change.
     ChangeStarted {
         /// The new map.
         map: MapRef,
     },
-    /// The coordinator gives up a change; the old map stays.
+    /// The coordinator has abandoned a change; the old map stays in use.
     ChangeAbandoned {
-        /// The map that was not adopted.
+        /// Map of the abandoned change.
         map: MapRef,
-        /// Why.
+        /// Reason for abandoning the change.
         reason: AbandonReason,
     },
-    /// All members hold the new map; it is granted.
+    /// All members have loaded the new map and the coordinator has granted it.
     ChangeCommitted {
         /// The new map.
         map: MapRef,
-        /// First step on it.
+        /// First step on the new map.
         from_step: u64,
     },
-    /// All ranks have made a step on the new map.
+    /// All ranks have made a step on the new map, and the old one is no longer granted.
     ChangeFinished {
         /// The new map.
         map: MapRef,
     },
-    /// A proposal was not taken up.
+    /// The member has rejected a proposed map.
     ProposalRefused {
-        /// Version that the proposal carried.
+        /// Version of the proposed map.
         version: u64,
-        /// Why.
+        /// Reason for the rejection.
         reason: ProposalFault,
     },
-    /// The member works under another membership.
+    /// The member has adopted a different membership.
     MembershipAdopted {
         /// The new membership.
         epoch: Epoch,
     },
 }
 
-/// Why a change was given up.
+/// Reason why a change was abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbandonReason {
-    /// Some member did not acknowledge the map before the deadline.
+    /// Some member did not load the map before the deadline.
     StageDeadline,
     /// An engine failed to load the map.
     StageFailed,
-    /// The coordinator was deposed or the membership changed first.
+    /// The coordinator's term ended or the membership changed first.
     TermEnded,
 }
 
-/// Why a proposal was not taken up.
+/// Reason why a proposed map was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposalFault {
-    /// The member does not coordinate the group.
+    /// The member is not the coordinator.
     NotCoordinator,
-    /// Another change is in flight.
+    /// Another change is in progress.
     ChangeInFlight,
-    /// The map does not fit the group's sizes or leaves an expert without a rank.
+    /// The map does not have the group's dimensions or leaves an expert without a rank.
     Misfit,
-    /// The group has stopped after a violation.
+    /// The group is halted because an invariant was violated.
     Halted,
 }
--- a/crates/core/src/group/candidate.rs
+++ b/crates/core/src/group/candidate.rs
@@ -1,4 +1,4 @@
-//! Campaigns: collecting every member's promise.
+//! Campaigns, in which a candidate collects the promises of all members.
 
 use super::audit::GroupRecord;
 use super::member::GroupMember;
@@ -10,16 +10,17 @@
 use indexmap::IndexMap;
 
 impl GroupMember {
-    /// Asks every member for a promise under a token that nobody else draws.
+    /// Starts a campaign: asks every member for a promise under a fencing token unique to this
+    /// member.
     pub(crate) fn campaign(&mut self, now: Now) {
-        let Some(place) = self.place else {
+        let Some(index) = self.index else {
             return;
         };
-        self.depose();
-        self.seen = next_fencing(self.seen.max(self.floor), place);
+        self.step_down();
+        self.highest_fencing = next_fencing(self.highest_fencing.max(self.promised_fencing), index);
         let epoch = self.membership.epoch;
         let incarnation = self.incarnation;
-        let term = Term { fencing: self.seen, epoch, candidate: place, incarnation };
+        let term = Term { fencing: self.highest_fencing, epoch, candidate: index, incarnation };
         self.role = Role::Candidate(Candidate {
             term,
             promises: IndexMap::new(),
@@ -49,16 +50,16 @@
             return;
         };
         let fencing = candidate.term.fencing;
-        let places = self.membership.indices();
+        let indices = self.membership.indices();
         let missing: Vec<_> =
-            places.filter(|place| !candidate.promises.contains_key(place)).collect();
-        for place in missing {
-            self.send(place, None, fencing, GroupBody::Prepare);
+            indices.filter(|index| !candidate.promises.contains_key(index)).collect();
+        for index in missing {
+            self.send(index, None, fencing, GroupBody::Prepare);
         }
     }
 
-    /// Counts a promise; the last one makes the candidate coordinator.
-    pub(crate) fn take_promise(&mut self, now: Now, promise: &Term, state: MemberState) {
+    /// Records a promise and becomes coordinator once all members have promised.
+    pub(crate) fn on_promise(&mut self, now: Now, promise: &Term, state: MemberState) {
         let Role::Candidate(candidate) = &mut self.role else {
             return;
         };
@@ -70,21 +71,21 @@
         let members = self.membership.servers.len();
         let needed = if self.mechanisms.needs_every_promise { members } else { members / 2 + 1 };
         if candidate.promises.len() >= needed {
-            self.lead(now);
+            self.become_coordinator(now);
         }
     }
 
-    /// Some member does not follow the term `fencing` of this member.
-    pub(crate) fn refused(&mut self, now: Now, fencing: Fencing, seen: Fencing) {
-        self.seen = self.seen.max(seen);
+    /// Handles the refusal by a member that does not follow the term `fencing` of this member.
+    pub(crate) fn on_refusal(&mut self, now: Now, fencing: Fencing, seen: Fencing) {
+        self.highest_fencing = self.highest_fencing.max(seen);
         if self.role.term().is_none_or(|term| term.fencing != fencing) {
             return;
         }
         if seen > fencing {
-            self.depose();
-            self.campaign_after(now, CAMPAIGN_TIMEOUT_MS);
+            self.step_down();
+            self.schedule_campaign(now, CAMPAIGN_TIMEOUT_MS);
         } else if self.is_coordinator() {
-            // The member has restarted and forgotten its promise. Only a new round tells what its
+            // The member has restarted and lost its promise. Only a new campaign reveals what its
             // engine holds.
             self.campaign(now);
         }
--- a/crates/core/src/group/engine.rs
+++ b/crates/core/src/group/engine.rs
@@ -1,18 +1,21 @@
-//! The border to the engine beside the agent: orders out, states and step reports in.
+//! The interface to the agent's engine: orders to it, states and step reports from it.
 //!
-//! The program that carries orders out must keep three rules. It sends one order at a time and
-//! awaits its answer or failure before the next, so that the answer to an inspection covers every
-//! earlier order of this process; it reports either to the core. It sends orders only while it holds the loopback port that
-//! excludes a second agent on the same instance. It never sends an order twice by itself: the core
-//! repeats what still matters at each heartbeat. A `Stage` may be kept back by reporting it held and
-//! failed; the core orders it anew, under the fencing token of that moment, when it is reported due.
+//! The driver, which sends the orders to the engine, must follow these rules:
 //!
-//! Of the engines it is asked that a step is made by all ranks together, each on the map that it is
-//! granted for the step, and only on grants of equal epochs. The next step is the one after the
-//! last that any rank has completed, or the first that all ranks are granted, whichever is later.
-//! Beside engines that ignore epochs, a member list may change only once every agent has read the
-//! one before, and an engine that joins the ranks of a group, or comes back, must start without
-//! grants.
+//! - It sends one order at a time, waits for its answer or failure and reports that to the core
+//!   before it sends the next. The answer to an inspection thus covers all earlier orders of this
+//!   process.
+//! - It sends orders only while it holds the loopback port that excludes a second agent on the same
+//!   instance.
+//! - It never retries an order. The core repeats what is still needed at each heartbeat.
+//! - It may defer a `Stage` by reporting it as deferred and failed. When the driver reports it as
+//!   due, the core issues a new order under the fencing token of that time.
+//!
+//! An engine must make each step together with all ranks of the group, on the map granted for that
+//! step, and only if the grants of all ranks have the same epoch. The next step is the one after
+//! the last that any rank has completed, or the first that all ranks are granted, whichever is
+//! later. If engines ignore epochs, the member list may change only after every agent has adopted
+//! the previous one, and an engine that joins or rejoins a group must start without grants.
 
 use super::grant::StepGrant;
 use super::map::{ExpertMap, MapRef};
@@ -20,70 +23,71 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Numbers the orders of one agent incarnation.
+/// Sequence number of an order, unique within one incarnation of the agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderId(pub u64);
 
-/// An order to the engine. Each is idempotent and answered with the engine's [`EngineState`].
+/// Order to the engine. All orders are idempotent and are answered with the [`EngineState`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum EngineOrder {
-    /// Report the present state. An engine that checks fencing refuses lower tokens from now on.
+    /// Report the state. An engine that checks fencing refuses lower fencing tokens from then on.
     Inspect,
-    /// Load the weights of a map's local ranks in the background, beside the map in use. It takes
-    /// the place of another load that is not finished.
+    /// Load the weights that a map assigns to the local ranks, in the background and beside the map
+    /// in use. Replaces a load that has not finished.
     Stage {
-        /// The whole map.
+        /// Complete content of the map.
         map: Arc<ExpertMap>,
     },
-    /// Unload a map that no grant names.
+    /// Unload a map that no grant refers to.
     Discard {
         /// The map.
         map: MapRef,
     },
-    /// Use exactly these grants, in place of those held; at most two, lowest step first.
+    /// Replace all held grants by these.
     Grant {
-        /// The grants; an empty list stops the engine after its present step.
+        /// At most two grants, lowest step first. An empty list stops the engine after the current
+        /// step.
         grants: Vec<StepGrant>,
     },
-    /// Report the whole content of a resident map.
+    /// Report the complete content of a loaded map.
     ReadMap {
         /// The map.
         map: MapRef,
     },
 }
 
-/// What an engine holds, as it says itself.
+/// State of an engine, as reported by the engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// Last step that all local ranks have completed; zero in a new engine.
+    /// Last step that all local ranks have completed; 0 in a new engine.
     pub completed_step: u64,
-    /// Grants held, used-up ones included until others replace them.
+    /// Held grants. Exhausted ones are included until they are replaced.
     pub grants: Vec<StepGrant>,
-    /// Maps that are loaded.
+    /// Loaded maps.
     pub resident: Vec<MapRef>,
-    /// The map that is being loaded.
+    /// Map that is being loaded, if any.
     pub staging: Option<MapRef>,
 }
 
-/// One rank's account of one step.
+/// Report of one step by one rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepReport {
-    /// The rank, counted over the whole group.
+    /// Index of the rank within the group.
     pub rank: u16,
-    /// The step that it completed.
+    /// Step that the rank completed.
     pub step: u64,
-    /// The map that it used.
+    /// Map that the rank used.
     pub map: MapRef,
 }
 
-/// An order as it leaves the agent.
+/// An order with its identifier and fencing token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FencedOrder {
-    /// Number of the order; the answer names it.
+    /// Identifier of the order, by which the driver reports the result.
     pub id: OrderId,
-    /// Token of the term that the order belongs to.
+    /// Fencing token of the term that the order belongs to.
     pub fencing: Fencing,
-    /// What to do.
+    /// The order.
     pub order: EngineOrder,
 }
--- a/crates/core/src/group/follower.rs
+++ b/crates/core/src/group/follower.rs
@@ -1,4 +1,4 @@
-//! Promises and grants: the part that every member plays.
+//! Promises and grants, which every member handles whatever its role.
 
 use super::audit::GroupRecord;
 use super::engine::{EngineOrder, EngineState, OrderId, StepReport};
@@ -14,23 +14,23 @@
 
 impl GroupMember {
     pub(crate) fn tick_follower(&mut self, now: Now) {
-        if self.campaign_at.is_past(now) && self.promises_at.is_past(now) {
+        if self.campaign_at.is_past(now) && self.first_promise_at.is_past(now) {
             self.campaign(now);
         }
     }
 
-    /// Judges a candidate's request for a promise.
-    pub(crate) fn prepare(&mut self, now: Now, term: Term) {
-        self.seen = self.seen.max(term.fencing);
-        if !self.promises_at.is_past(now) {
+    /// Handles a candidate's request for a promise.
+    pub(crate) fn on_prepare(&mut self, now: Now, term: Term) {
+        self.highest_fencing = self.highest_fencing.max(term.fencing);
+        if !self.first_promise_at.is_past(now) {
             // An order of this agent's predecessor may still reach an engine that ignores fencing
-            // tokens. A promise given now would not tell of that grant, and the group could be
-            // led on another map. The candidate asks again.
+            // tokens. A promise given now would not include that grant, and the coordinator might
+            // grant a different map for its steps. The candidate asks again.
             return;
         }
         if self.has_promised(&term) {
-            self.repeat_promise();
-        } else if term.fencing > self.floor {
+            self.resend_promise();
+        } else if term.fencing > self.promised_fencing {
             self.accept_term(now, term);
         } else {
             self.refuse(&term);
@@ -39,26 +39,26 @@
 
     fn accept_term(&mut self, now: Now, term: Term) {
         if self.role.term().is_none_or(|own| !own.is_same(&term)) {
-            self.depose();
+            self.step_down();
         }
-        self.floor = term.fencing;
+        self.promised_fencing = term.fencing;
         let inspection = Inspection::Done;
         self.promised =
-            Some(PromisedTerm { term, inspection, heartbeat: None, is_grant_due: false });
-        self.campaign_after(now, CAMPAIGN_TIMEOUT_MS);
+            Some(PromisedTerm { term, inspection, heartbeat: None, is_heartbeat_due: false });
+        self.schedule_campaign(now, CAMPAIGN_TIMEOUT_MS);
         self.audit(GroupRecord::Promised { fencing: term.fencing, candidate: term.candidate });
         if self.mechanisms.inspects_engine {
             self.inspect(now);
         } else {
-            self.give_promise();
+            self.send_promise();
         }
     }
 
-    /// Asks the engine what it holds, under the promised token.
+    /// Asks the engine for its state, under the promised fencing token.
     ///
-    /// The agent's memory would not do: a restarted agent has none, a replaced engine has lost
-    /// what it was granted, and an engine that checks fencing refuses late orders of an earlier
-    /// term only after it has seen the new token.
+    /// The agent's own view is not enough: a restarted agent has none, a replaced engine has lost
+    /// its grants, and an engine that checks fencing refuses late orders of an earlier term only
+    /// after it has seen the new token.
     fn inspect(&mut self, now: Now) {
         let id = self.order(EngineOrder::Inspect);
         let again_at = now.after(INSPECT_RETRY_MS);
@@ -77,14 +77,14 @@
         }
     }
 
-    fn repeat_promise(&mut self) {
+    fn resend_promise(&mut self) {
         let is_done = |promised: &PromisedTerm| promised.inspection == Inspection::Done;
         if self.promised.as_ref().is_some_and(is_done) {
-            self.give_promise();
+            self.send_promise();
         }
     }
 
-    fn give_promise(&mut self) {
+    fn send_promise(&mut self) {
         let Some(term) = self.promised.as_ref().map(|promised| promised.term) else {
             return;
         };
@@ -94,38 +94,41 @@
         self.read_unknown_maps();
     }
 
-    /// A restarted agent knows its engine's maps by name only; somebody may need their content.
+    /// Reads the content of loaded maps that is unknown to a restarted agent.
+    ///
+    /// The coordinator may need it for another member.
     fn read_unknown_maps(&mut self) {
         if self.engine.is_busy() {
             return;
         }
         let resident = self.engine.state.resident.iter().copied();
-        let unknown: Vec<MapRef> = resident.filter(|&map| self.shelf.get(map).is_none()).collect();
+        let unknown: Vec<MapRef> =
+            resident.filter(|&map| self.map_cache.get(map).is_none()).collect();
         for map in unknown {
             self.order(EngineOrder::ReadMap { map });
         }
     }
 
-    pub(crate) fn engine_answered(&mut self, id: OrderId, state: EngineState) {
-        self.engine.answered(id, state);
+    pub(crate) fn on_engine_answer(&mut self, id: OrderId, state: EngineState) {
+        self.engine.apply_answer(id, state);
         let Some(promised) = &mut self.promised else {
             return;
         };
         if matches!(promised.inspection, Inspection::Pending { id: first, .. } if first <= id) {
             promised.inspection = Inspection::Done;
-            self.give_promise();
+            self.send_promise();
         }
-        self.give_due_grant();
+        self.apply_due_heartbeat();
     }
 
-    pub(crate) fn engine_failed(&mut self, id: OrderId) {
-        self.engine.settled(id);
-        self.give_due_grant();
+    pub(crate) fn on_order_failed(&mut self, id: OrderId) {
+        self.engine.complete_order(id);
+        self.apply_due_heartbeat();
     }
 
-    pub(crate) fn engine_refused(&mut self, id: OrderId, seen: Fencing) {
-        self.engine.settled(id);
-        self.seen = self.seen.max(seen);
+    pub(crate) fn on_order_refused(&mut self, id: OrderId, seen: Fencing) {
+        self.engine.complete_order(id);
+        self.highest_fencing = self.highest_fencing.max(seen);
         if let Some(term) = self.promised.as_ref().map(|promised| promised.term)
             && seen > term.fencing
         {
@@ -133,8 +136,8 @@
         }
     }
 
-    pub(crate) fn engine_reported(&mut self, report: StepReport) {
-        let checked = self.engine.stepped(report);
+    pub(crate) fn on_step_report(&mut self, report: StepReport) {
+        let checked = self.engine.record_step(report);
         if let Err(violation) = checked
             && self.mechanisms.checks_invariants
             && !self.is_halted
@@ -143,32 +146,32 @@
         }
     }
 
-    pub(crate) fn engine_staged(&mut self, map: MapRef) {
-        self.engine.staged(map);
-        self.use_heartbeat();
+    pub(crate) fn on_map_loaded(&mut self, map: MapRef) {
+        self.engine.record_loaded(map);
+        self.apply_heartbeat();
     }
 
-    pub(crate) fn engine_stage_held(&mut self, map: MapRef) {
-        self.engine.held = Some(map);
+    pub(crate) fn on_load_deferred(&mut self, map: MapRef) {
+        self.engine.deferred_load = Some(map);
     }
 
-    /// Orders a load that was kept back, unless the coordinator has given it up meanwhile.
-    pub(crate) fn engine_stage_due(&mut self, map: MapRef) {
-        if self.engine.held.take_if(|held| *held == map).is_none() {
+    /// Orders a deferred load, unless the coordinator has abandoned the change in the meantime.
+    pub(crate) fn start_deferred_load(&mut self, map: MapRef) {
+        if self.engine.deferred_load.take_if(|deferred| *deferred == map).is_none() {
             return;
         }
-        if let Some(map) = self.shelf.get(map).cloned() {
+        if let Some(map) = self.map_cache.get(map).cloned() {
             self.order(EngineOrder::Stage { map });
         }
     }
 
-    pub(crate) fn engine_stage_failed(&mut self, map: MapRef) {
-        self.engine.stage_failed(map);
-        self.report();
+    pub(crate) fn on_load_failed(&mut self, map: MapRef) {
+        self.engine.record_load_failure(map);
+        self.send_report();
     }
 
-    /// Takes a heartbeat of the promised term.
-    pub(crate) fn follow(&mut self, now: Now, term: &Term, heartbeat: Heartbeat) {
+    /// Handles a heartbeat of the promised term.
+    pub(crate) fn on_heartbeat(&mut self, now: Now, term: &Term, heartbeat: Heartbeat) {
         if self.mechanisms.refuses_old_terms && !self.is_following(term) {
             self.refuse(term);
             return;
@@ -178,31 +181,31 @@
         };
         let last = promised.heartbeat.as_ref().map_or(0, |last| last.sequence);
         if self.mechanisms.drops_late_heartbeats && heartbeat.sequence <= last {
-            // A heartbeat from before a commit would take the grant of the new map back from the
-            // engine. The next coordinator would not hear of it and extend the old map instead.
+            // A heartbeat from before a commit would revoke the engine's grant of the new map. The
+            // next coordinator would not learn of that grant and would extend the old map instead.
             return;
         }
         promised.heartbeat = Some(heartbeat);
         self.failed_campaigns = 0;
-        self.campaign_after(now, LEASE_MS);
-        self.hasten_held();
-        self.use_heartbeat();
+        self.schedule_campaign(now, LEASE_MS);
+        self.start_needed_load();
+        self.apply_heartbeat();
     }
 
-    /// Ends the wait of a load that a grant has come to need.
+    /// Starts a deferred load whose map has been granted in the meantime.
     ///
-    /// A map may arrive before the heartbeat that grants it. Kept back until its turn, it would
-    /// stop the group for so long.
-    fn hasten_held(&mut self) {
-        if let Some(map) = self.engine.held
+    /// A map may arrive before the heartbeat that grants it. If its load stayed deferred, the group
+    /// would stop until then.
+    fn start_needed_load(&mut self) {
+        if let Some(map) = self.engine.deferred_load
             && self.is_needed_now(map)
         {
-            self.engine_stage_due(map);
+            self.start_deferred_load(map);
         }
     }
 
-    /// Gives the engine what the latest heartbeat grants and reports back.
-    fn use_heartbeat(&mut self) {
+    /// Passes the grants of the latest heartbeat on to the engine and reports to the coordinator.
+    fn apply_heartbeat(&mut self) {
         let Some(promised) = &self.promised else {
             return;
         };
@@ -213,37 +216,36 @@
             self.halt(None);
         }
         if !self.is_halted {
-            self.grant_unless_busy(&heartbeat);
+            self.forward_grants_when_idle(&heartbeat);
         }
-        self.report();
+        self.send_report();
     }
 
-    /// Passes on a heartbeat's grants, or notes that they are due.
+    /// Passes on the grants of a heartbeat if no order is pending; otherwise marks it as due.
     ///
-    /// Orders go to the engine one at a time. Beside an engine that answers more slowly than
-    /// heartbeats come, each heartbeat's orders would wait behind all earlier ones: the queue
-    /// would grow without end, and the inspection that a new term waits for would stand at its
-    /// end. So a heartbeat gives orders only when none is on its way; the latest one counts.
-    fn grant_unless_busy(&mut self, heartbeat: &Heartbeat) {
+    /// The engine takes one order at a time. If it answers more slowly than heartbeats arrive, a
+    /// queue of their orders would grow without bound, and the inspection that a new term needs
+    /// would wait at its end. Only the latest heartbeat is applied once the engine is idle.
+    fn forward_grants_when_idle(&mut self, heartbeat: &Heartbeat) {
         let is_busy = self.engine.is_busy();
         if let Some(promised) = &mut self.promised {
-            promised.is_grant_due = is_busy;
+            promised.is_heartbeat_due = is_busy;
         }
         if !is_busy {
-            self.grant(&heartbeat.grants);
+            self.forward_grants(&heartbeat.grants);
             self.discard_unused(heartbeat);
         }
     }
 
-    fn give_due_grant(&mut self) {
-        let is_due = self.promised.as_ref().is_some_and(|promised| promised.is_grant_due);
+    fn apply_due_heartbeat(&mut self) {
+        let is_due = self.promised.as_ref().is_some_and(|promised| promised.is_heartbeat_due);
         if is_due && !self.engine.is_busy() {
-            self.use_heartbeat();
+            self.apply_heartbeat();
         }
     }
 
-    /// Passes on the grants whose maps are loaded; a rank without its map waits.
-    fn grant(&mut self, granted: &[StepGrant]) {
+    /// Passes on the grants whose maps are loaded; ranks wait for maps that are not.
+    fn forward_grants(&mut self, granted: &[StepGrant]) {
         let loaded = |grant: &&StepGrant| self.engine.is_resident(grant.map);
         let grants: Vec<StepGrant> = granted.iter().filter(loaded).copied().collect();
         let checked = self.engine.check_grants(&grants);
@@ -252,21 +254,21 @@
         {
             self.halt(Some(violation));
         } else if grants.is_empty() {
-            // Nothing to give. The answer still tells whether the engine has been replaced.
+            // There is nothing to grant, but the answer shows whether the engine has been replaced.
             self.order(EngineOrder::Inspect);
         } else {
             self.order(EngineOrder::Grant { grants });
         }
     }
 
-    /// Frees the memory of maps that no grant and no change names.
+    /// Unloads maps that no grant and no change refers to.
     ///
-    /// Grants that the engine still holds count, also where the coordinator names them no more:
-    /// the next coordinator may have to continue them, and would find nobody who knows the map.
+    /// Maps of grants that the engine still holds are kept even if the coordinator no longer lists
+    /// them: the next coordinator may have to continue such a grant and needs the map's content.
     fn discard_unused(&mut self, heartbeat: &Heartbeat) {
-        let held = self.engine.state.grants.clone();
+        let held_grants = self.engine.state.grants.clone();
         let named = |map: MapRef| {
-            let mut grants = heartbeat.grants.iter().chain(&held);
+            let mut grants = heartbeat.grants.iter().chain(&held_grants);
             heartbeat.staging == Some(map) || grants.any(|grant| grant.map == map)
         };
         let resident = self.engine.state.resident.iter().copied();
@@ -274,11 +276,11 @@
         for map in unused {
             self.order(EngineOrder::Discard { map });
         }
-        self.shelf.retain(named);
-        self.engine.held = self.engine.held.filter(|&map| named(map));
+        self.map_cache.retain(named);
+        self.engine.deferred_load = self.engine.deferred_load.filter(|&map| named(map));
     }
 
-    fn report(&mut self) {
+    fn send_report(&mut self) {
         let Some(promised) = &self.promised else {
             return;
         };
@@ -291,21 +293,21 @@
         self.send(term.candidate, Some(term.incarnation), term.fencing, body);
     }
 
-    /// Has the engine load a map that the coordinator hands out.
-    pub(crate) fn stage(&mut self, term: &Term, map: Arc<ExpertMap>) {
+    /// Orders the engine to load a map that the coordinator sent.
+    pub(crate) fn on_stage(&mut self, term: &Term, map: Arc<ExpertMap>) {
         if !self.is_following(term) {
             self.refuse(term);
             return;
         }
-        let reference = self.shelf.put(map.clone());
+        let reference = self.map_cache.insert(map.clone());
         if !self.engine.is_staging(reference) && !self.engine.is_resident(reference) {
             self.order(EngineOrder::Stage { map });
         }
     }
 
-    /// Sends a map's content to a coordinator that lacks it.
-    pub(crate) fn hand_back(&mut self, term: &Term, map: MapRef) {
-        if let Some(content) = self.shelf.get(map).cloned() {
+    /// Sends the content of a map to a coordinator that lacks it.
+    pub(crate) fn send_map_content(&mut self, term: &Term, map: MapRef) {
+        if let Some(content) = self.map_cache.get(map).cloned() {
             let body = GroupBody::MapContent(content);
             self.send(term.candidate, Some(term.incarnation), term.fencing, body);
         } else {
@@ -313,8 +315,8 @@
         }
     }
 
-    /// Tells the sender that this life of the member does not follow it.
-    pub(crate) fn refuse_late(&mut self, message: &GroupMessage) {
+    /// Refuses a coordinator's message that is addressed to another incarnation of this member.
+    pub(crate) fn refuse_other_incarnation(&mut self, message: &GroupMessage) {
         if let GroupBody::Lead(_) | GroupBody::Stage(_) = message.body {
             let GroupMessage { epoch, from, sender, fencing, .. } = *message;
             self.refuse(&Term { fencing, epoch, candidate: from, incarnation: sender });
@@ -322,7 +324,7 @@
     }
 
     fn refuse(&mut self, term: &Term) {
-        let body = GroupBody::Refuse { seen: self.seen.max(self.floor) };
+        let body = GroupBody::Refuse { seen: self.highest_fencing.max(self.promised_fencing) };
         self.send(term.candidate, Some(term.incarnation), term.fencing, body);
     }
 
--- a/crates/core/src/group/interface.rs
+++ b/crates/core/src/group/interface.rs
@@ -1,4 +1,4 @@
-//! Events into a group member and actions out of it.
+//! Events that a group member handles and the actions that it requests.
 
 use super::audit::{GroupRecord, Violation};
 use super::engine::{EngineState, FencedOrder, OrderId, StepReport};
@@ -9,66 +9,66 @@
 use hickorycross_config::BackendServerId;
 use std::sync::Arc;
 
-/// An input of a group member.
+/// Input to [`super::GroupMember::handle`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GroupEvent {
-    /// Time has passed. Sent at least every [`super::timing::TICK_MS`].
+    /// Time has passed. The driver sends it at least every [`super::timing::TICK_MS`].
     Tick,
     /// A message from another member has arrived.
     Received(GroupMessage),
     /// The engine has carried out an order.
     EngineAnswered {
-        /// The order.
+        /// Identifier of the order.
         id: OrderId,
-        /// The engine's state after it.
+        /// State of the engine after the order.
         state: EngineState,
     },
-    /// An order got no answer: the connection failed or its time ran out. The engine may have
-    /// carried it out.
+    /// An order was not answered: the connection failed or the request timed out. The engine may
+    /// still have carried it out.
     EngineFailed {
         /// The order.
         id: OrderId,
     },
-    /// The engine has refused an order because of its fencing token.
+    /// The engine has refused an order because of an old fencing token.
     EngineRefused {
         /// The order.
         id: OrderId,
-        /// The highest token that the engine has seen.
+        /// Highest fencing token that the engine has seen.
         seen: Fencing,
     },
-    /// A rank has completed a step. Reports may come late and with gaps.
+    /// A rank has completed a step. Reports may be late and incomplete.
     EngineReported(StepReport),
-    /// An order to load a map was kept back until the weight store's rate allows it. The order is
-    /// reported failed as well, so that other orders do not wait for it.
+    /// The load of a map was deferred until the weight store's rate allows it. The driver also
+    /// reports the order as failed, so that other orders do not wait for it.
     EngineStageDeferred(MapRef),
-    /// The map whose load was kept back may be loaded now.
+    /// The map whose load was deferred may be loaded now.
     EngineStageDue(MapRef),
     /// The engine has loaded a map.
     EngineStaged(MapRef),
-    /// The engine could not load a map.
+    /// The engine failed to load a map.
     EngineStageFailed(MapRef),
-    /// The answer to [`super::EngineOrder::ReadMap`].
+    /// The engine has answered [`super::EngineOrder::ReadMap`].
     EngineMapRead(Arc<ExpertMap>),
-    /// The decision wants another map. Only the coordinator acts on it, and numbers the map anew.
+    /// Proposes a new map. Only the coordinator acts on it, and assigns the map's version.
     Propose(ExpertMap),
-    /// A document has been adopted. Its group may be unchanged.
+    /// The agent has adopted a document, which may leave the membership unchanged.
     MembershipUpdated(Membership),
 }
 
-/// An output of a group member.
+/// Action that a group member requests from its driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GroupAction {
-    /// Send a message. It may get lost.
+    /// Send a message. Delivery is not guaranteed.
     Send {
         /// The receiver.
         to: BackendServerId,
         /// The message.
         message: GroupMessage,
     },
-    /// Give the engine an order; see [`super::engine`] for the rules.
+    /// Send an order to the engine; [`super::engine`] states the rules for this.
     Order(FencedOrder),
-    /// The group has stopped; people must look at it.
+    /// Report a violation to operators. The group has halted and needs their intervention.
     ReportViolation(Violation),
-    /// Write a line of the audit trail.
+    /// Write an audit record.
     Audit(GroupRecord),
 }
--- a/crates/core/src/group/map.rs
+++ b/crates/core/src/group/map.rs
@@ -1,50 +1,50 @@
-//! Expert maps: which rank holds which experts, layer by layer.
+//! Expert maps, which list the experts of each rank layer by layer.
 
 pub use crate::placement::LayerPlacement;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Sizes that a map must have to fit a group.
+/// Dimensions that a map must have to fit a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MapShape {
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub ranks: u16,
-    /// Experts of each layer.
+    /// Number of experts per layer.
     pub experts: u16,
-    /// Layers with experts.
+    /// Number of layers with experts.
     pub layers: u16,
 }
 
 /// One version of a group's expert map.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExpertMap {
-    /// Counts the maps of the group; the coordinator numbers them.
+    /// Version number, assigned by the coordinator.
     pub version: u64,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub ranks: u16,
-    /// Experts of each layer.
+    /// Number of experts per layer.
     pub experts: u16,
-    /// Placement by layer.
+    /// Placement of the experts, one entry per layer.
     pub layers: Vec<LayerPlacement>,
 }
 
-/// Digest (xxh3) of a map's content, its version included.
+/// Digest (xxh3) of a map's content, including its version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct MapDigest(pub u64);
 
-/// Names a map without carrying it.
+/// Identifies a map by version and digest.
 ///
-/// Version and digest always go together: two coordinators may number two candidate maps alike
-/// when the first one dies before anybody reports its map.
+/// The version alone is not unique: if a coordinator dies before any member reports its new map,
+/// the next coordinator may assign the same version to a different map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MapRef {
     /// Version of the map.
     pub version: u64,
-    /// Digest of its content.
+    /// Digest of the map's content.
     pub digest: MapDigest,
-    /// Its sizes, so that a coordinator without the content knows whether the map fits.
+    /// Dimensions of the map, so that a coordinator without the content can tell whether it fits.
     pub shape: MapShape,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl ExpertMap {
-    /// The map that a group starts from: experts dealt out to the ranks in turn, no replicas.
+    /// Creates the initial map of a group, with experts assigned round-robin and no replicas.
     #[must_use]
     pub fn uniform(version: u64, shape: MapShape) -> Self {
         let layer = LayerPlacement {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The sizes of this map.
+    /// Returns the dimensions of this map.
     #[must_use]
     pub fn shape(&self) -> MapShape {
         MapShape {
@@ -81,19 +81,19 @@
         }
     }
 
-    /// The name of this map, computed from its content.
+    /// Returns the reference to this map, computed from its content.
     #[must_use]
     pub fn reference(&self) -> MapRef {
         MapRef { version: self.version, digest: self.digest(), shape: self.shape() }
     }
 
-    /// Whether the map has the given sizes and every expert of every layer has a rank.
+    /// Returns whether the map has the given dimensions and assigns every expert of every layer.
     #[must_use]
     pub fn fits(&self, shape: MapShape) -> bool {
-        self.shape() == shape && self.layers.iter().all(|layer| self.is_whole(layer))
+        self.shape() == shape && self.layers.iter().all(|layer| self.is_complete(layer))
     }
 
-    fn is_whole(&self, layer: &LayerPlacement) -> bool {
+    fn is_complete(&self, layer: &LayerPlacement) -> bool {
         let mut held = vec![false; usize::from(self.experts)];
         for &expert in layer.experts_of_rank.iter().flatten() {
             match held.get_mut(usize::from(expert)) {
@@ -125,7 +125,7 @@
     }
 }
 
-/// Lengths are hashed as 64 bits, so that agents of every word size agree.
+/// Hashes a length as 64 bits, so that the digest does not depend on the platform's word size.
 fn hash_length(hasher: &mut Xxh3, length: usize) {
     hasher.update(&(length as u64).to_le_bytes());
 }
--- a/crates/core/src/group/shelf.rs
+++ b/crates/core/src/group/map_cache.rs
@@ -1,18 +1,18 @@
-//! The contents of the maps that a member may have to hand on.
+//! Cache of the map contents that a member may have to send to others.
 
 use super::map::{ExpertMap, MapRef};
 use indexmap::IndexMap;
 use std::sync::Arc;
 
-/// Contents by name. A map of 60 layers and 256 experts takes some 75 KB.
+/// Map contents by reference. A map of 60 layers and 256 experts takes about 75 KB.
 #[derive(Debug, Default)]
-pub(crate) struct MapShelf {
+pub(crate) struct MapCache {
     maps: IndexMap<MapRef, Arc<ExpertMap>>,
 }
 
-impl MapShelf {
-    /// Stores a map under the name computed from its content, which it returns.
-    pub(crate) fn put(&mut self, map: Arc<ExpertMap>) -> MapRef {
+impl MapCache {
+    /// Stores a map and returns its reference.
+    pub(crate) fn insert(&mut self, map: Arc<ExpertMap>) -> MapRef {
         let reference = map.reference();
         self.maps.insert(reference, map);
         reference
--- a/crates/core/src/group/mechanisms.rs
+++ b/crates/core/src/group/mechanisms.rs
@@ -1,35 +1,35 @@
-//! Switches that turn single guards off, to show in tests that each is needed.
+//! Switches that disable single mechanisms, for tests that show what each one prevents.
 
-/// The guards of the agreement. All are on in every program.
+/// Safety mechanisms of the agreement; all are enabled outside of tests.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mechanisms {
-    /// Messages of a term other than the one promised are refused.
+    /// Refuses heartbeats of a term other than the promised one.
     pub refuses_old_terms: bool,
-    /// Messages meant for an earlier life of the receiver are refused.
+    /// Refuses messages addressed to an earlier incarnation of the receiver.
     pub checks_target: bool,
-    /// Every member has to promise; off: a majority.
+    /// Requires the promise of every member; a majority suffices when disabled.
     pub needs_every_promise: bool,
-    /// A promise waits until the engine has been inspected; off: the agent's memory is used.
+    /// Inspects the engine before a promise; the agent's own view is used when disabled.
     pub inspects_engine: bool,
-    /// An agent beside an engine that ignores fencing waits before it promises.
+    /// Delays the first promise of an agent whose engine ignores fencing tokens.
     pub delays_first_promise: bool,
-    /// A new coordinator continues the highest grant that any member holds; off: its own.
+    /// Continues the highest grant that any member holds; the coordinator's own when disabled.
     pub continues_highest_grant: bool,
-    /// Late heartbeats of the same term are dropped.
+    /// Drops heartbeats that are older than the last one of the term.
     pub drops_late_heartbeats: bool,
-    /// The old map is extended no further once the new one is granted.
+    /// Stops extending the grant of the old map once the new map is granted.
     pub freezes_old_map: bool,
-    /// Messages of another membership are refused.
+    /// Ignores messages of another membership.
     pub checks_epoch: bool,
-    /// The steps of a new membership start after everything granted under the old one.
+    /// Starts a new membership after the last step granted under earlier ones.
     pub skips_old_grants: bool,
-    /// A conflicting grant is not given, and step reports are checked.
+    /// Checks step reports and refuses to pass on conflicting grants.
     pub checks_invariants: bool,
 }
 
 impl Mechanisms {
-    /// All guards on.
+    /// All mechanisms enabled.
     pub const ALL: Self = Self {
         refuses_old_terms: true,
         checks_target: true,
--- a/crates/core/src/group/membership.rs
+++ b/crates/core/src/group/membership.rs
@@ -1,4 +1,4 @@
-//! The members of a group, as one document names them.
+//! The members of a group, as listed in a revision of the document.
 
 use super::map::MapShape;
 use hickorycross_config::{BackendServerId, ModelGroup, ModelGroupId, Stamp};
@@ -6,13 +6,15 @@
 use std::fmt;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Position of a backend server in the group's list; the lowest live one normally coordinates.
+/// Index of a backend server in the group's list.
+///
+/// Normally the live member with the lowest index coordinates the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct MemberIndex(pub u8);
 
 impl MemberIndex {
-    /// The place as an index into the membership's table.
+    /// Returns the index as a `usize`.
     #[must_use]
     pub fn index(self) -> usize {
         usize::from(self.0)
@@ -27,42 +29,43 @@
 
 /// Identifies one membership of a group.
 ///
-/// The digest covers the group's own lines of the document only. A document changes more than a
-/// thousand times a day; were the whole document's digest used, each of those changes would stop
-/// every group until all of its members had adopted it.
+/// The digest covers only the group's own entry in the document. A document changes more than a
+/// thousand times a day; with a digest of the whole document, each change would stop every group
+/// until all of its members had adopted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Epoch {
-    /// Revision of the document; between two contents the higher one replaces the lower.
+    /// Revision of the document. A membership of a higher revision replaces one of a lower
+    /// revision.
     pub revision: u64,
-    /// Digest (xxh3) of the group's identifier, members and sizes.
+    /// Digest (xxh3) of the group's identifier, members and dimensions.
     pub digest: u64,
 }
 
 impl Epoch {
-    /// Whether both name the same members and sizes, whatever the document's revision.
+    /// Returns whether both have the same members and dimensions, ignoring the revision.
     #[must_use]
     pub const fn is_same_content(self, other: Self) -> bool {
         self.digest == other.digest
     }
 }
 
-/// The members of one group in rank order, with the sizes of its maps.
+/// Members of one group in rank order, with the dimensions of its maps.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Membership {
-    /// Identifies this membership.
+    /// Identifier of this membership.
     pub epoch: Epoch,
-    /// The group.
+    /// Identifier of the group.
     pub group: ModelGroupId,
     /// Backend servers in rank order; the index is the [`MemberIndex`].
     pub servers: Vec<BackendServerId>,
-    /// Ranks on each backend server.
+    /// Number of ranks on each backend server.
     pub ranks_per_server: u16,
-    /// Sizes of the group's maps.
+    /// Dimensions of the group's maps.
     pub shape: MapShape,
 }
 
 impl Membership {
-    /// Reads the membership out of the document's group.
+    /// Creates the membership from the group's entry in the document with the given stamp.
     #[must_use]
     pub fn new(stamp: Stamp, group: &ModelGroup) -> Self {
         let servers = group.backend_servers.len();
@@ -82,20 +85,20 @@
         }
     }
 
-    /// The place of a backend server, if it is a member.
+    /// Returns the index of a backend server, or `None` if it is not a member.
     #[must_use]
     pub fn index_of(&self, server: &BackendServerId) -> Option<MemberIndex> {
         let index = self.servers.iter().position(|member| member == server)?;
         u8::try_from(index).ok().map(MemberIndex)
     }
 
-    /// The backend server at a place.
+    /// Returns the backend server with the given index, or `None` if there is none.
     #[must_use]
-    pub fn server_at(&self, place: MemberIndex) -> Option<&BackendServerId> {
-        self.servers.get(place.index())
+    pub fn server_at(&self, index: MemberIndex) -> Option<&BackendServerId> {
+        self.servers.get(index.index())
     }
 
-    /// All places, lowest first.
+    /// Returns the indices of all members in ascending order.
     pub fn indices(&self) -> impl Iterator<Item = MemberIndex> + use<> {
         (0..=u8::MAX).take(self.servers.len()).map(MemberIndex)
     }
--- a/crates/core/src/group/message.rs
+++ b/crates/core/src/group/message.rs
@@ -8,76 +8,76 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A message with the marks by which its receiver judges it.
+/// A message between members, with the fields by which the receiver decides whether to accept it.
 ///
-/// Any copy may be lost, doubled, late or out of order.
+/// Messages may be lost, duplicated, delayed and reordered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupMessage {
-    /// The sender's membership; a receiver with another one does not act on the message.
+    /// Membership of the sender. A receiver with a different membership ignores the message.
     pub epoch: Epoch,
     /// The sender.
     pub from: MemberIndex,
-    /// The sender's life.
+    /// Incarnation of the sending agent.
     pub sender: Incarnation,
-    /// The life that it is meant for; none where the sender cannot know it yet.
+    /// Incarnation that the message is addressed to, or `None` if the sender does not know it yet.
     pub target: Option<Incarnation>,
-    /// Token of the term that the message belongs to.
+    /// Fencing token of the term that the message belongs to.
     pub fencing: Fencing,
-    /// What it says.
+    /// Content of the message.
     pub body: GroupBody,
 }
 
-/// What a message says.
+/// Content of a [`GroupMessage`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupBody {
-    /// A candidate asks for a promise to refuse lower fencing tokens.
+    /// Asks for a promise to refuse lower fencing tokens. Sent by a candidate.
     Prepare,
-    /// The promise, with what the member's engine holds.
+    /// Grants the promise and reports the state of the member's engine.
     Promise(MemberState),
-    /// The receiver of a message did not act on it.
+    /// Tells a sender that the member rejected its message.
     Refuse {
-        /// Highest token that the refusing member or its engine has seen.
+        /// Highest fencing token that the refusing member or its engine has seen.
         seen: Fencing,
     },
-    /// The coordinator's heartbeat: everything that the members need, each time.
+    /// The coordinator's heartbeat. Each one carries the complete state of the term.
     Lead(Heartbeat),
     /// A member's answer to a heartbeat.
     Report {
-        /// Number of the heartbeat.
+        /// Sequence number of the heartbeat.
         sequence: u64,
         /// The member's state.
         state: MemberState,
     },
-    /// The coordinator hands out a map to be loaded.
+    /// Sends a map that the member's engine has to load.
     Stage(Arc<ExpertMap>),
-    /// The coordinator lacks the content of a map and asks a member that holds it.
+    /// Asks a member that holds a map for its content, which the coordinator lacks.
     FetchMap(MapRef),
     /// The answer to [`GroupBody::FetchMap`].
     MapContent(Arc<ExpertMap>),
 }
 
-/// What the coordinator repeats at each heartbeat.
+/// State of a term, which the coordinator repeats at each heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Counts the heartbeats of a term; a lower one than seen is late and is dropped.
+    /// Sequence number within the term. Members drop a heartbeat that is not newer than the last.
     pub sequence: u64,
-    /// The grants in force, lowest step first.
+    /// Grants in force, lowest step first.
     pub grants: Vec<StepGrant>,
-    /// The map of a change that is being prepared.
+    /// Map of the change in preparation, if any.
     pub staging: Option<MapRef>,
-    /// Whether the group is stopped after a violation.
+    /// Whether the group is halted because an invariant was violated.
     pub is_halted: bool,
 }
 
-/// What a member knows of its engine.
+/// State of a member and its engine, as the member knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberState {
-    /// The engine's own account.
+    /// State that the engine reported, with the orders since then applied.
     pub engine: EngineState,
-    /// A map that the engine failed to load.
+    /// Map that the engine failed to load, if any.
     pub stage_failed: Option<MapRef>,
-    /// The latest step report.
+    /// Report of the latest step, if any.
     pub last_step: Option<StepReport>,
-    /// Whether the member has stopped after a violation.
+    /// Whether the member is halted because an invariant was violated.
     pub is_halted: bool,
 }
--- a/crates/core/src/group/mod.rs
+++ b/crates/core/src/group/mod.rs
@@ -1,12 +1,17 @@
-//! Agreement on one expert map within a lock-step group.
+//! Agreement on one expert map among the agents of a model group whose ranks step together.
 //!
-//! Each agent gates its engine with [`StepGrant`]s. One member coordinates; it extends the grants
-//! of the present map, or has the next one loaded by all and then grants it from the step after
-//! the last one granted on the old map. A coordinator is one that *every* member has promised to
-//! follow, and it continues the highest grant that any engine holds. The group makes no step
-//! without all of its ranks, so nothing is lost by waiting for all of them.
+//! An engine may make a step only on the map that a [`StepGrant`] names for it. One member, the
+//! coordinator, issues the grants and each agent passes them on to its engine. To change the map,
+//! the coordinator has all members load the new one and then grants it from the step after the
+//! last one granted on the old map.
 //!
-//! The argument for safety stands in `docs/design/group-agreement.md`.
+//! A member becomes coordinator once *every* member has promised to follow it, and it continues
+//! the highest grant that any engine holds. A majority would not do; waiting for all members costs
+//! nothing, because the group makes no step without all of its ranks.
+//!
+//! [`GroupMember`] implements the protocol without I/O: it takes [`GroupEvent`]s and returns
+//! [`GroupAction`]s. [`StageGate`] keeps the loads of map changes within the rate of the weight
+//! store. `docs/design/group-agreement.md` explains why the protocol is safe.
 
 mod audit;
 mod candidate;
@@ -17,14 +22,14 @@
 mod grant;
 mod interface;
 mod map;
+mod map_cache;
 mod mechanisms;
 mod member;
 mod membership;
-mod merge;
 mod message;
 mod pace;
+mod recovery;
 mod role;
-mod shelf;
 mod stage_gate;
 mod term;
 pub mod timing;
--- a/crates/core/src/group/pace.rs
+++ b/crates/core/src/group/pace.rs
@@ -1,12 +1,12 @@
-//! How many steps to grant ahead, by the pace of the group.
+//! The number of steps to grant ahead, derived from the step rate of the group.
 
 use super::timing::{GRANT_WINDOW_MS, HEARTBEAT_MS, MAX_WINDOW_STEPS, MIN_WINDOW_STEPS};
 use crate::{Now, UnixMs};
 
-/// Turns [`GRANT_WINDOW_MS`] into steps.
+/// Converts [`GRANT_WINDOW_MS`] to a number of steps at the measured step rate.
 ///
-/// A window counted in steps alone would delay a change for tens of seconds in a group that steps
-/// slowly, and stop a fast group whenever its coordinator is replaced.
+/// A fixed number of steps would delay a map change by tens of seconds in a slow group, and would
+/// stop a fast group whenever its coordinator is replaced.
 #[derive(Debug)]
 pub(crate) struct StepPace {
     sampled_at: UnixMs,
@@ -19,7 +19,7 @@
         Self { sampled_at: now.unix_ms, sampled_step: step, window_steps: MIN_WINDOW_STEPS }
     }
 
-    /// The window in steps; `step` is the last one known to be completed.
+    /// Returns the number of steps to grant ahead of `step`, the last step known to be completed.
     pub(crate) fn window_steps(&mut self, now: Now, step: u64) -> u64 {
         let elapsed_ms = now.unix_ms.since(self.sampled_at);
         if elapsed_ms >= HEARTBEAT_MS {
--- a/crates/core/src/group/merge.rs
+++ b/crates/core/src/group/recovery.rs
@@ -1,4 +1,4 @@
-//! What a new coordinator continues, out of what all members' engines hold.
+//! Recovery of the group's state by a new coordinator, from the states reported with the promises.
 
 use super::audit::Violation;
 use super::grant::{StepGrant, find_conflict};
@@ -8,28 +8,29 @@
 use super::message::MemberState;
 use std::sync::Arc;
 
-/// Where a term starts.
+/// State from which a new term starts.
 #[derive(Debug, Default)]
-pub(crate) struct Inheritance {
+pub(crate) struct RecoveredState {
     /// Grants to continue: one or two, lowest step first.
     pub(crate) grants: Vec<StepGrant>,
-    /// The content of the map, if it was made here.
-    pub(crate) fresh_map: Option<Arc<ExpertMap>>,
-    /// Highest version that any member knows.
+    /// Content of the granted map, if it was created during the recovery.
+    pub(crate) created_map: Option<Arc<ExpertMap>>,
+    /// Highest map version that any member knows.
     pub(crate) highest_version: u64,
     /// Last step that any rank is known to have completed.
     pub(crate) highest_step: u64,
 }
 
-/// Works out the grants to continue from the states that all members promised with.
+/// Determines the grants to continue from the states that the members reported with their promises.
 ///
-/// `own` is the candidate's own state; it matters only when a guard is off.
-pub(crate) fn inherit(
+/// `own` is the candidate's own state, used only when [`Mechanisms::continues_highest_grant`] is
+/// disabled. Fails if two grants of the newest epoch conflict.
+pub(crate) fn recover_state(
     membership: &Membership,
     states: &[&MemberState],
     own: &MemberState,
     mechanisms: Mechanisms,
-) -> Result<Inheritance, Violation> {
+) -> Result<RecoveredState, Violation> {
     let held = match mechanisms.continues_highest_grant {
         true => states.iter().flat_map(|state| &state.engine.grants).copied().collect(),
         false => own.engine.grants.clone(),
@@ -37,15 +38,15 @@
     let highest_version = states.iter().flat_map(|state| versions(state)).max().unwrap_or(0);
     let highest_step = states.iter().map(|state| known_step(state)).max().unwrap_or(0);
     let newest = held.iter().copied().max_by_key(|grant| (grant.epoch.revision, grant.from_step));
-    let mut inheritance =
-        Inheritance { grants: Vec::new(), fresh_map: None, highest_version, highest_step };
+    let mut recovered =
+        RecoveredState { grants: Vec::new(), created_map: None, highest_version, highest_step };
     match newest {
         Some(newest) if newest.epoch.is_same_content(membership.epoch) => {
-            inheritance.grants = continue_grants(&held, newest, states)?;
+            recovered.grants = continue_grants(&held, newest, states)?;
         }
-        _ => start_anew(&mut inheritance, membership, &held, newest, mechanisms),
+        _ => start_first_grant(&mut recovered, membership, &held, newest, mechanisms),
     }
-    Ok(inheritance)
+    Ok(recovered)
 }
 
 fn versions(state: &MemberState) -> impl Iterator<Item = u64> {
@@ -61,13 +62,13 @@
 
 /// Continues the newest grant.
 ///
-/// Only grants of the very same epoch belong to it, the document's revision included. A member
-/// list may return to what it was two documents ago: a rank that was left out in between still
-/// holds a grant of then, and taken for the one before the newest, that grant would be stretched
-/// over steps that the list in between has made on other maps.
+/// Only grants of the same epoch, including the document's revision, are considered. A member list
+/// may return to an earlier one: a rank that was not a member in between still holds a grant from
+/// that time. If it were taken for the predecessor of the newest grant, it would be extended over
+/// steps that the intermediate members made on other maps.
 ///
-/// While some rank has still to reach it, the map before it stays
-/// granted up to the step before, where the coordinator that granted the newest one stopped.
+/// Until all ranks have reached the newest grant, its predecessor stays granted up to the step
+/// before it, which is where the previous coordinator stopped extending it.
 fn continue_grants(
     held: &[StepGrant],
     newest: StepGrant,
@@ -91,10 +92,12 @@
     Ok(grants)
 }
 
-/// Starts a membership's first grant after every step that any engine may still make under an
-/// earlier one, on the newest map if it fits, else on a uniform one.
-fn start_anew(
-    inheritance: &mut Inheritance,
+/// Creates the first grant of a membership.
+///
+/// It starts after every step that an engine may still make under an earlier membership, on the
+/// newest granted map if that fits the group, else on a new uniform map.
+fn start_first_grant(
+    recovered: &mut RecoveredState,
     membership: &Membership,
     held: &[StepGrant],
     newest: Option<StepGrant>,
@@ -102,19 +105,19 @@
 ) {
     let last_granted = held.iter().map(|grant| grant.through_step).max().unwrap_or(0);
     let last_step = match mechanisms.skips_old_grants {
-        true => last_granted.max(inheritance.highest_step),
-        false => inheritance.highest_step,
+        true => last_granted.max(recovered.highest_step),
+        false => recovered.highest_step,
     };
     let fitting = newest.map(|grant| grant.map).filter(|map| map.shape == membership.shape);
-    let map = fitting.unwrap_or_else(|| make_uniform(inheritance, membership));
-    inheritance.grants.push(first_grant(membership.epoch, map, last_step));
+    let map = fitting.unwrap_or_else(|| create_uniform_map(recovered, membership));
+    recovered.grants.push(first_grant(membership.epoch, map, last_step));
 }
 
-fn make_uniform(inheritance: &mut Inheritance, membership: &Membership) -> MapRef {
-    inheritance.highest_version += 1;
-    let map = ExpertMap::uniform(inheritance.highest_version, membership.shape);
+fn create_uniform_map(recovered: &mut RecoveredState, membership: &Membership) -> MapRef {
+    recovered.highest_version += 1;
+    let map = ExpertMap::uniform(recovered.highest_version, membership.shape);
     let reference = map.reference();
-    inheritance.fresh_map = Some(Arc::new(map));
+    recovered.created_map = Some(Arc::new(map));
     reference
 }
 
--- a/crates/core/src/group/role.rs
+++ b/crates/core/src/group/role.rs
@@ -1,4 +1,4 @@
-//! The part that a member plays at present.
+//! The roles of a member and the state that belongs to each.
 
 use super::engine::OrderId;
 use super::grant::StepGrant;
@@ -11,7 +11,7 @@
 use indexmap::IndexMap;
 use std::sync::Arc;
 
-/// Follower until the lease of the coordinator runs out.
+/// Role of a member. A follower campaigns when the coordinator's lease expires.
 #[derive(Debug, Default)]
 pub(crate) enum Role {
     #[default]
@@ -30,74 +30,75 @@
     }
 }
 
-/// A member's promise to refuse lower tokens than a term's.
+/// The term that this member has promised to follow, refusing lower fencing tokens.
 #[derive(Debug)]
 pub(crate) struct PromisedTerm {
     pub(crate) term: Term,
     pub(crate) inspection: Inspection,
     pub(crate) heartbeat: Option<Heartbeat>,
-    /// The heartbeat waits until the engine has answered the orders before.
-    pub(crate) is_grant_due: bool,
+    /// Whether `heartbeat` is still to be applied, once the engine has answered earlier orders.
+    pub(crate) is_heartbeat_due: bool,
 }
 
-/// The state of the engine's inspection that precedes the promise.
+/// State of the engine inspection that precedes the promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Inspection {
-    /// Ordered and not answered yet.
+    /// Ordered but not answered yet; ordered again at `again_at`.
     Pending { id: OrderId, again_at: UnixMs },
-    /// Answered: the promise has been given.
+    /// Answered, and the promise has been sent.
     Done,
 }
 
-/// A member that collects promises.
+/// State of a member that is collecting promises.
 #[derive(Debug)]
 pub(crate) struct Candidate {
     pub(crate) term: Term,
     pub(crate) promises: IndexMap<MemberIndex, Promise>,
     pub(crate) prepare_again_at: UnixMs,
-    /// Passes to [`UnixMs::NEVER`] once the failure has been counted.
+    /// When the campaign counts as failed; [`UnixMs::NEVER`] once it has been counted.
     pub(crate) fails_at: UnixMs,
 }
 
-/// One member's promise.
+/// Promise of one member, with the state that it reported.
 #[derive(Debug)]
 pub(crate) struct Promise {
     pub(crate) incarnation: Incarnation,
     pub(crate) state: MemberState,
 }
 
-/// The member that every member has promised to follow.
+/// State of the member that every member has promised to follow.
 #[derive(Debug)]
 pub(crate) struct Coordinator {
     pub(crate) term: Term,
     pub(crate) sequence: u64,
     pub(crate) heartbeat_at: UnixMs,
-    pub(crate) rows: IndexMap<MemberIndex, MemberRow>,
-    /// The map in use and, from a commit until all have stepped on it, the next one.
+    pub(crate) members: IndexMap<MemberIndex, MemberStatus>,
+    /// Grant of the map in use and, from a commit until all ranks have reached it, of the next map.
     pub(crate) grants: Vec<StepGrant>,
-    pub(crate) granted: Vec<StepGrant>,
-    pub(crate) change: Option<Change>,
+    /// Recent grants, against which step reports are checked.
+    pub(crate) grant_history: Vec<StepGrant>,
+    pub(crate) change: Option<PendingChange>,
     pub(crate) highest_version: u64,
     pub(crate) highest_step: u64,
     pub(crate) pace: StepPace,
 }
 
-/// What the coordinator knows of one member.
+/// Last known state of one member, kept by the coordinator.
 #[derive(Debug)]
-pub(crate) struct MemberRow {
+pub(crate) struct MemberStatus {
     pub(crate) incarnation: Incarnation,
     pub(crate) state: MemberState,
-    /// Heartbeat that the state answers.
+    /// Sequence number of the heartbeat that `state` answers.
     pub(crate) sequence: u64,
-    /// The map handed out to it last.
-    pub(crate) handed_out: Option<MapRef>,
-    /// When that map may be handed out to it again.
-    pub(crate) stage_again_at: UnixMs,
+    /// Map that was last sent to the member.
+    pub(crate) last_sent_map: Option<MapRef>,
+    /// When `last_sent_map` may be sent again.
+    pub(crate) resend_map_at: UnixMs,
 }
 
-/// A map that is being loaded by all members.
+/// A change in preparation, whose map the members are loading.
 #[derive(Debug)]
-pub(crate) struct Change {
+pub(crate) struct PendingChange {
     pub(crate) map: Arc<ExpertMap>,
     pub(crate) reference: MapRef,
     pub(crate) abandon_at: UnixMs,
--- a/crates/core/src/group/stage_gate.rs
+++ b/crates/core/src/group/stage_gate.rs
@@ -1,8 +1,10 @@
-//! Holds back the loads of a change until the agent's fair share of the weight store covers them.
+//! Defers the loads of a map change to keep within the agent's fair share of the weight store's
+//! rate.
 //!
-//! An engine loads all that a map needs on one order. The gate has a [`WeightLoader`] pace the experts one
-//! by one and lets the order through when the turn of the last one has come; a refused order waits
-//! as a refused load does. No agent tells another what it loads: each keeps to its own share.
+//! An engine loads all experts that a map needs on a single order. The gate schedules the experts
+//! one by one with a [`WeightLoader`] and forwards the order when the last one is due. After a
+//! refusal the order is retried with the back-off of the loader. Agents do not coordinate their
+//! loads; each one keeps to its own share.
 
 use super::map::{ExpertMap, MapRef};
 use super::timing::STAGE_DEADLINE_MS;
@@ -13,33 +15,35 @@
 use crate::{Now, UnixMs};
 use std::ops::Range;
 
-/// Part of [`STAGE_DEADLINE_MS`] in which the share has to pay for the loads of a change.
+/// Part of [`STAGE_DEADLINE_MS`] in which the agent's share has to cover the loads of a change.
 ///
-/// The engine's reading may take as long again when all agents load at once; the rest is left for
-/// refusals and for messages on their way.
+/// The engines' reads may take as long again when all agents load at once; the rest is left for
+/// refusals and message delays.
 pub const LOAD_TIME_BUDGET_MS: u64 = STAGE_DEADLINE_MS / 3;
 
-/// What the core is to do with an order to load a map.
+/// Decision about an order to load a map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StageDecision {
-    /// Give it to the engine now.
+    /// Forward the order to the engine now.
     Forward,
-    /// Keep it back; [`StageGate::tick`] tells when it is due.
+    /// Defer the order until [`StageGate::tick`] reports it as due.
     Defer,
-    /// Its loads cannot be paid for before the change is abandoned.
+    /// Reject the order: the share cannot cover its loads before the change is abandoned.
     Reject,
 }
 
-/// What became of an order that was kept back.
+/// Change in the state of a deferred order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StageEvent {
-    /// The share covers the map's loads now.
+    /// The share now covers the map's loads.
     Due(MapRef),
-    /// The map was not loaded in time.
+    /// The gate gave up, because the map could not be loaded in time.
     Abandoned(MapRef),
 }
 
-/// The gate before one engine.
+/// Rate limiter for the map loads of one engine.
+///
+/// It handles one order at a time; an order for another map replaces the previous one.
 #[derive(Debug)]
 pub struct StageGate {
     settings: WeightLoaderSettings,
@@ -47,107 +51,109 @@
     stage: Option<GatedStage>,
 }
 
-/// The order that the gate deals with.
+/// Order that the gate is handling.
 #[derive(Clone, Debug)]
 struct GatedStage {
     map: MapRef,
     loads: Vec<WeightLoad>,
-    give_up_at: UnixMs,
+    deadline: UnixMs,
     progress: Progress,
 }
 
-/// How far an order has come.
+/// Progress of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
-    /// It waits for its share or for the end of a back-off.
-    Held,
-    /// It may go to the engine; the key is that of its last load.
+    /// The order waits for its share or for the end of a back-off.
+    Waiting,
+    /// The order may be forwarded. The key identifies its last load.
     Due(WeightLoadKey),
-    /// The engine has it.
-    Given(WeightLoadKey),
+    /// The order has been forwarded. The key identifies its last load.
+    Forwarded(WeightLoadKey),
 }
 
 impl StageGate {
-    /// A gate that holds nothing. The seed fixes the jitter after refusals.
+    /// Creates a gate without an order. The seed determines the jitter after refusals.
     #[must_use]
     pub fn new(settings: WeightLoaderSettings, seed: u64) -> Self {
         Self { settings, loader: WeightLoader::new(settings, seed), stage: None }
     }
 
-    /// The pace that the gate keeps.
+    /// Returns the rate settings of the gate.
     #[must_use]
     pub fn settings(&self) -> WeightLoaderSettings {
         self.settings
     }
 
-    /// Follows a document with another pace; an order that is held starts its turns anew.
+    /// Applies new rate settings. A deferred order is scheduled again from its first load.
     pub fn update_settings(&mut self, now: Now, settings: WeightLoaderSettings, seed: u64) {
         self.settings = settings;
         self.loader = WeightLoader::new(settings, seed);
-        let held = self.stage.take_if(|stage| stage.progress == Progress::Held);
+        let waiting = self.stage.take_if(|stage| stage.progress == Progress::Waiting);
         self.stage = None;
-        if let Some(stage) = held {
+        if let Some(stage) = waiting {
             self.begin(now, stage);
         }
     }
 
-    /// Lets an order pass that must not wait: nothing is loaded yet, or a grant names its map.
+    /// Forwards an order that must not wait, because no map is loaded yet or its map is granted.
     ///
-    /// A rank without the map of a grant stops the whole group. Held back, such a load would be
-    /// noticed as requests that hang although every engine lives.
+    /// A rank without a granted map stops the whole group. Deferring its load would make requests
+    /// hang although all engines are alive. Drops the order that the gate was handling.
     pub fn bypass(&mut self) -> StageDecision {
         self.stage = None;
         self.loader.withdraw();
         StageDecision::Forward
     }
 
-    /// Judges the order to load a map for which the engine lacks `loads`.
+    /// Decides on an order to load a map for which the engine has yet to load `loads`.
     pub fn request(&mut self, now: Now, map: MapRef, loads: Vec<WeightLoad>) -> StageDecision {
         match self.progress_of(map) {
-            Some(Progress::Held) => StageDecision::Defer,
+            Some(Progress::Waiting) => StageDecision::Defer,
             Some(Progress::Due(last)) => {
-                self.set_progress(Progress::Given(last));
+                self.set_progress(Progress::Forwarded(last));
                 StageDecision::Forward
             }
-            // The order is repeated only while the engine neither holds nor loads the map.
-            Some(Progress::Given(last)) => {
-                self.refused(now, last);
+            // The core repeats an order only if the engine neither holds nor loads the map.
+            Some(Progress::Forwarded(last)) => {
+                self.back_off(now, last);
                 StageDecision::Defer
             }
-            None => self.first_asked(now, map, loads),
+            None => self.first_request(now, map, loads),
         }
     }
 
-    /// Learns that the engine could not load a map. Whether the gate tries again.
+    /// Records that the engine failed to load a map. Returns whether the gate will retry.
     pub fn on_load_failed(&mut self, now: Now, map: MapRef) -> bool {
-        let Some(Progress::Given(last)) = self.progress_of(map) else { return false };
-        self.refused(now, last);
+        let Some(Progress::Forwarded(last)) = self.progress_of(map) else { return false };
+        self.back_off(now, last);
         true
     }
 
-    /// Learns that the engine has loaded a map.
+    /// Records that the engine has loaded a map.
     pub fn on_loaded(&mut self, map: MapRef) {
         if self.stage.take_if(|stage| stage.map == map).is_some() {
             self.loader.finish_change(map.version);
         }
     }
 
-    /// Lets turns pass. Tells once when the order held is due, or given up.
+    /// Advances to the current time. Returns an event once when the deferred order becomes due or
+    /// is abandoned.
     pub fn tick(&mut self, now: Now) -> Option<StageEvent> {
         let map = self.stage.as_ref()?.map;
-        if self.progress_of(map) != Some(Progress::Held) {
-            // What the engine has begun ends by its own answer, or with the coordinator's change.
+        if self.progress_of(map) != Some(Progress::Waiting) {
+            // A forwarded order ends with the engine's answer or when the coordinator ends the
+            // change.
             return None;
         }
-        self.take_turns(now);
+        self.advance(now);
         match self.progress_of(map) {
-            Some(Progress::Held) => None,
-            Some(Progress::Due(_) | Progress::Given(_)) => Some(StageEvent::Due(map)),
+            Some(Progress::Waiting) => None,
+            Some(Progress::Due(_) | Progress::Forwarded(_)) => Some(StageEvent::Due(map)),
             None => Some(StageEvent::Abandoned(map)),
         }
     }
 
-    fn first_asked(&mut self, now: Now, map: MapRef, loads: Vec<WeightLoad>) -> StageDecision {
+    fn first_request(&mut self, now: Now, map: MapRef, loads: Vec<WeightLoad>) -> StageDecision {
         if loads.is_empty() {
             return self.bypass();
         }
@@ -155,11 +161,11 @@
             self.bypass();
             return StageDecision::Reject;
         }
-        let give_up_at = now.after(STAGE_DEADLINE_MS);
-        self.begin(now, GatedStage { map, loads, give_up_at, progress: Progress::Held });
+        let deadline = now.after(STAGE_DEADLINE_MS);
+        self.begin(now, GatedStage { map, loads, deadline, progress: Progress::Waiting });
         match self.progress_of(map) {
             Some(Progress::Due(last)) => {
-                self.set_progress(Progress::Given(last));
+                self.set_progress(Progress::Forwarded(last));
                 StageDecision::Forward
             }
             _ => StageDecision::Defer,
@@ -167,24 +173,24 @@
     }
 
     fn begin(&mut self, now: Now, stage: GatedStage) {
-        let GatedStage { map, loads, give_up_at, .. } = &stage;
-        let actions = self.loader.begin(now, map.version, loads, *give_up_at);
+        let GatedStage { map, loads, deadline, .. } = &stage;
+        let actions = self.loader.begin(now, map.version, loads, *deadline);
         self.stage = Some(stage);
-        self.follow(now, actions);
-        self.take_turns(now);
+        self.apply(now, actions);
+        self.advance(now);
     }
 
-    fn refused(&mut self, now: Now, last: WeightLoadKey) {
-        self.set_progress(Progress::Held);
+    fn back_off(&mut self, now: Now, last: WeightLoadKey) {
+        self.set_progress(Progress::Waiting);
         self.loader.handle(now, WeightLoadEvent::Refused(last));
     }
 
-    /// Takes each turn at its own moment.
+    /// Runs all load slots of the loader that are due, each at its own scheduled time.
     ///
-    /// With one turn for each tick, turns shorter than a tick would be lost, and loads of small
-    /// experts would take many times what the share allows.
-    fn take_turns(&mut self, now: Now) {
-        while self.stage.as_ref().is_some_and(|stage| stage.progress == Progress::Held) {
+    /// With one slot per tick, slots shorter than a tick would be lost, and loads of small experts
+    /// would take many times as long as the share requires.
+    fn advance(&mut self, now: Now) {
+        while self.stage.as_ref().is_some_and(|stage| stage.progress == Progress::Waiting) {
             let unix_ms = self.loader.next_at();
             if !unix_ms.is_past(now) {
                 return;
@@ -194,12 +200,15 @@
             if actions.is_empty() {
                 return;
             }
-            self.follow(at, actions);
+            self.apply(at, actions);
         }
     }
 
-    /// Takes a load whose turn has come for paid, but for the last one: that is the order itself.
-    fn follow(&mut self, now: Now, actions: Vec<WeightLoadAction>) {
+    /// Applies the loader's actions.
+    ///
+    /// A load that is due counts as loaded at once, except the last one, for which the order itself
+    /// is forwarded.
+    fn apply(&mut self, now: Now, actions: Vec<WeightLoadAction>) {
         for action in actions {
             match action {
                 WeightLoadAction::Start(key) if self.is_last(&key) => {
@@ -207,12 +216,13 @@
                 }
                 WeightLoadAction::Start(key) => {
                     let next = self.loader.handle(now, WeightLoadEvent::Loaded(key));
-                    self.follow(now, next);
+                    self.apply(now, next);
                 }
                 WeightLoadAction::Abandon { cause, .. } if cause != AbandonCause::Withdrawn => {
                     self.stage = None;
                 }
-                // The engine frees a map as a whole, when the coordinator no longer names it.
+                // The engine unloads maps only as a whole, once the coordinator no longer lists
+                // them.
                 WeightLoadAction::Abandon { .. }
                 | WeightLoadAction::Cancel(_)
                 | WeightLoadAction::Discard(_)
@@ -234,15 +244,16 @@
     }
 }
 
-/// Experts that an agent's fair share pays for within a span.
+/// Returns the number of experts that an agent's fair share allows to be loaded within a time span.
 #[must_use]
 pub fn max_loads_within(settings: &WeightLoaderSettings, span_ms: u64) -> u64 {
     span_ms / settings.load_interval_ms().max(1)
 }
 
-/// Lists the experts of a map that `ranks` hold in no map that is loaded.
+/// Returns the experts that `ranks` need for the wanted map and have in no loaded map.
 ///
-/// Loaded maps whose content the agent does not know are left out, so that it rather waits too long.
+/// Loaded maps whose content is unknown are not considered, so the agent may defer a load for
+/// longer than necessary but never too briefly.
 #[must_use]
 pub fn missing_experts<'a>(
     ranks: Range<u16>,
--- a/crates/core/src/group/term.rs
+++ b/crates/core/src/group/term.rs
@@ -1,15 +1,15 @@
-//! Terms: who may coordinate, under which fencing token.
+//! Terms, each of which lets one candidate coordinate under one fencing token.
 
 use super::membership::{Epoch, MemberIndex};
 use crate::{Fencing, Incarnation};
 
-/// Numbers of one round; a token is `round * TOKENS_PER_ROUND + place`.
+/// Number of fencing tokens per round; a token is `round * TOKENS_PER_ROUND + index`.
 const TOKENS_PER_ROUND: u64 = 256;
 
-/// One candidate's claim to coordinate one membership.
+/// The claim of one candidate to coordinate one membership.
 ///
-/// Grants are taken from exactly the term promised: the token alone does not tell a restarted
-/// candidate from its predecessor, which may have drawn the same one.
+/// Members accept grants only from exactly the term that they promised to follow. The fencing token
+/// alone does not suffice, because a restarted candidate may pick the same one as its predecessor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Term {
     pub(crate) fencing: Fencing,
@@ -19,7 +19,7 @@
 }
 
 impl Term {
-    /// Whether both are one claim; the document's revision may differ.
+    /// Returns whether both are the same term; the document's revision may differ.
     pub(crate) fn is_same(&self, other: &Self) -> bool {
         self.fencing == other.fencing
             && self.epoch.is_same_content(other.epoch)
@@ -28,8 +28,8 @@
     }
 }
 
-/// The lowest token above `seen` that only `place` draws.
-pub(crate) const fn next_fencing(seen: Fencing, place: MemberIndex) -> Fencing {
+/// Returns a fencing token above `seen` that only the member with this index may use.
+pub(crate) const fn next_fencing(seen: Fencing, index: MemberIndex) -> Fencing {
     let round = seen.0 / TOKENS_PER_ROUND + 1;
-    Fencing(round * TOKENS_PER_ROUND + place.0 as u64)
+    Fencing(round * TOKENS_PER_ROUND + index.0 as u64)
 }
--- a/crates/core/src/group/timing.rs
+++ b/crates/core/src/group/timing.rs
@@ -1,56 +1,59 @@
-//! Spans of time and steps that the agreement is tuned by.
+//! Timing parameters of the agreement.
 //!
-//! Safety depends on none of them. Spans become deadlines before they are stored.
+//! They affect availability only: the agreement is safe with any values. Durations are converted to
+//! deadlines before they are stored.
 
-/// Longest span between two [`super::GroupEvent::Tick`] events.
+/// Longest time between two [`super::GroupEvent::Tick`] events.
 pub const TICK_MS: u64 = 50;
 
-/// Span between two heartbeats of the coordinator.
+/// Interval between heartbeats of the coordinator.
 pub const HEARTBEAT_MS: u64 = 250;
 
-/// Silence of the coordinator after which a member campaigns.
+/// Time without a heartbeat after which a member campaigns.
 pub const LEASE_MS: u64 = 1_000;
 
-/// Further silence that each place waits, so that the lowest live one campaigns alone.
+/// Additional wait per member index, so that the live member with the lowest index campaigns first.
 pub const CAMPAIGN_STAGGER_MS: u64 = 100;
 
-/// Time that a candidate is given to collect its promises before another member campaigns.
+/// Time for a candidate to collect its promises before another member campaigns.
 pub const CAMPAIGN_TIMEOUT_MS: u64 = 600;
 
-/// Most failed campaigns that lengthen a member's wait.
+/// Number of failed campaigns up to which each one lengthens the wait for the next.
 pub const MAX_COUNTED_FAILURES: u32 = 3;
 
-/// Time after its start in which an agent promises nothing, beside an engine that ignores fencing
-/// tokens: an order of its predecessor may still sit in the engine's receive buffer.
+/// Time after its start during which an agent gives no promise if its engine ignores fencing
+/// tokens.
+///
+/// An order of the agent's predecessor may still be in the engine's receive buffer.
 pub const PROMISE_DELAY_MS: u64 = 500;
 
-/// Time after which a failed inspection is repeated.
+/// Time after which an unanswered inspection of the engine is repeated.
 pub const INSPECT_RETRY_MS: u64 = 200;
 
-/// Time after which an unacknowledged map is handed out again.
+/// Time after which a map is sent again if the member neither holds nor loads it.
 pub const STAGE_RETRY_MS: u64 = 1_000;
 
-/// Time for all members to acknowledge the map of a change.
+/// Time for all members to load the map of a change before the change is abandoned.
 pub const STAGE_DEADLINE_MS: u64 = 30_000;
 
-/// Time that the steps granted ahead last, at the group's present pace.
+/// Time that the steps granted ahead last at the group's current step rate.
 ///
-/// Longer than a lost coordinator takes to be replaced among few members, so that a takeover costs
+/// It is longer than replacing a lost coordinator takes in a small group, so that a takeover delays
 /// no step. A change takes effect about this long after its commit.
 pub const GRANT_WINDOW_MS: u64 = 2_500;
 
-/// Fewest steps granted ahead; what a group gets that has just started or stalled.
+/// Minimum number of steps granted ahead, used for a group that has just started or stalled.
 pub const MIN_WINDOW_STEPS: u64 = 64;
 
-/// Most steps granted ahead.
+/// Maximum number of steps granted ahead.
 pub const MAX_WINDOW_STEPS: u64 = 4_096;
 
-/// Longest time from the moment at which every member is reachable again, with one-way delays of
-/// up to `delay_ms` and engines that load a map within `stage_ms`, to the next step of the group.
+/// Returns the longest time until the group steps again after all members have become reachable.
 ///
-/// The longest wait to campaign, two campaigns (a stale one and the one that succeeds), the
-/// settling of a restarted agent, and a replaced engine's load of two maps one after the other,
-/// each handed out again once.
+/// One-way delays are at most `delay_ms`, and engines load a map within `stage_ms`. The bound
+/// consists of the longest wait before a campaign, two campaigns (a stale one and the successful
+/// one), the promise delay of a restarted agent, and two consecutive map loads by a replaced
+/// engine, with each map sent twice.
 #[must_use]
 pub const fn stall_bound_ms(members: u64, delay_ms: u64, stage_ms: u64) -> u64 {
     let wait_ms = LEASE_MS * (1 + MAX_COUNTED_FAILURES as u64) + members * CAMPAIGN_STAGGER_MS;
--- a/crates/core/tests/support/group_fleet.rs
+++ b/crates/core/tests/support/group_fleet.rs
@@ -497,7 +497,7 @@
                 self.send_order(from);
             }
             GroupAction::ReportViolation(violation) => {
-                self.findings.push(Finding::Alarm(violation))
+                self.findings.push(Finding::Alarm(violation));
             }
             GroupAction::Audit(record) => {
                 self.records.push((self.now_ms, from.clone(), record));
