--- a/crates/core/src/group/coordinator.rs
+++ b/crates/core/src/group/coordinator.rs
@@ -206,9 +206,9 @@
         let missing = coordinator.required_maps().find(|map| !engine.resident.contains(map))?;
         let is_loading = engine.staging == Some(missing);
         let member = coordinator.members.get_mut(&index)?;
-        let is_on_its_way =
+        let is_in_transit =
             member.last_sent_map == Some(missing) && !member.resend_map_at.is_past(now);
-        if is_loading || is_on_its_way {
+        if is_loading || is_in_transit {
             return None;
         }
         member.last_sent_map = Some(missing);
--- a/crates/core/tests/group_measure.rs
+++ b/crates/core/tests/group_measure.rs
@@ -1,4 +1,4 @@
-//! Measures what a map change and a takeover cost, and how large maps and messages are.
+//! Measurements of map changes, takeovers, and the sizes of maps and messages.
 
 #[allow(dead_code, reason = "each test binary uses a part of the support module")]
 #[path = "support/group_fleet.rs"]
@@ -8,10 +8,10 @@
 mod group_scripts;
 
 use group_fleet::Fleet;
-use group_scripts::{change_commits, change_finishes, start_fleet};
+use group_scripts::{run_until_committed, run_until_finished, start_fleet};
 use hickorycross_core::group::{ExpertMap, MapShape, Mechanisms};
 
-/// The longest gap between steps and the time until a change was committed and finished.
+/// A group for which the duration of a change and the longest gap between steps are measured.
 struct Cost {
     members: usize,
     step_ms: u64,
@@ -29,19 +29,19 @@
 ];
 
 #[test]
-fn a_change_stalls_no_step() {
+fn a_change_delays_no_step() {
     for Cost { members, step_ms, delay_ms } in COSTS {
         let mut fleet = Fleet::new(31, members);
-        fleet.weather.step_ms = step_ms;
-        fleet.weather.delay_max_ms = delay_ms;
+        fleet.conditions.step_ms = step_ms;
+        fleet.conditions.delay_max_ms = delay_ms;
         fleet.start_all();
         fleet.run_for(12_000);
         fleet.longest_gap_ms = 0;
         let (start_ms, start_messages) = (fleet.now_ms, fleet.messages);
         fleet.propose();
-        change_commits(&mut fleet);
+        run_until_committed(&mut fleet);
         let committed_ms = fleet.now_ms - start_ms;
-        change_finishes(&mut fleet);
+        run_until_finished(&mut fleet);
         let finished_ms = fleet.now_ms - start_ms;
         let messages_per_s = (fleet.messages - start_messages) * 1_000 / finished_ms;
         println!(
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_takeover_is_measured() {
+fn takeover_time() {
     for members in [4, 8, 16, 32] {
         let mut fleet = start_fleet(32, members, Mechanisms::ALL);
         fleet.run_for(4_000);
@@ -64,19 +64,19 @@
         fleet.kill(0);
         fleet.run_for(200);
         fleet.start(0);
-        let led = fleet.run_until(20_000, |fleet| fleet.coordinator().is_some());
+        let took_over = fleet.run_until(20_000, |fleet| fleet.coordinator().is_some());
         fleet.run_for(4_000);
         println!(
-            "{members} members: another leads {led:?} ms after the restart (killed at {start_ms}), \
+            "{members} members: takeover {took_over:?} ms after the restart (killed at {start_ms}), \
              longest gap {} ms",
             fleet.longest_gap_ms
         );
-        assert!(led.is_some());
+        assert!(took_over.is_some());
     }
 }
 
 #[test]
-fn maps_are_named_by_content() {
+fn map_references_depend_on_content() {
     let shape = MapShape { ranks: 32, experts: 256, layers: 60 };
     let map = ExpertMap::uniform(1, shape);
     assert!(map.fits(shape));
@@ -93,20 +93,20 @@
 }
 
 #[test]
-fn sizes_of_messages() {
+fn message_sizes() {
     let shape = MapShape { ranks: 32, experts: 256, layers: 60 };
     let map = postcard::to_stdvec(&ExpertMap::uniform(1, shape)).expect("a map is plain data");
     println!("a map of 60 layers and 256 experts: {} bytes", map.len());
     assert!(map.len() < 64 << 10);
     let mut fleet = start_fleet(33, 4, Mechanisms::ALL);
     fleet.propose();
-    change_commits(&mut fleet);
+    run_until_committed(&mut fleet);
     fleet.counts_bytes = true;
     let start_messages = fleet.messages;
     fleet.run_for(2_000);
     let bytes = fleet.bytes;
     let messages = fleet.messages - start_messages;
-    println!("heartbeats and reports during a cut-over: {} bytes each", bytes / messages);
+    println!("heartbeats and reports during a map switch: {} bytes each", bytes / messages);
     println!("4 members: {} bytes/s in all", bytes / 2);
     assert!(bytes / messages < 256);
 }
--- a/crates/core/tests/support/group_fleet.rs
+++ b/crates/core/tests/support/group_fleet.rs
@@ -1,7 +1,7 @@
-//! A group's agents and engines in one thread, with virtual time and a seeded network.
+//! Simulation of a group's agents and engines with virtual time and a seeded network.
 //!
-//! Engines step in lock-step whenever every rank is granted the next step; they do not compare
-//! maps, so that a fault of the agreement shows as a step on two maps.
+//! The engines step together whenever every rank is granted the next step. They do not compare
+//! their maps, so that a fault in the agreement shows up as a step on different maps.
 
 use hickorycross_config::{BackendServerId, Digest, ModelGroup, ModelGroupId, Stamp};
 use hickorycross_core::group::{
@@ -17,26 +17,26 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::sync::Arc;
 
-/// How the network and the engines behave.
+/// Delays and fault rates of the network and the engines.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Weather {
+pub(crate) struct Conditions {
     pub(crate) delay_min_ms: u64,
     pub(crate) delay_max_ms: u64,
     pub(crate) lost_permille: u32,
-    pub(crate) doubled_permille: u32,
-    /// Time that an order spends in an engine's receive buffer, and its answer on the way back.
+    pub(crate) duplicated_permille: u32,
+    /// Bounds of the one-way delay of an order to an engine, and of its answer.
     pub(crate) order_min_ms: u64,
     pub(crate) order_max_ms: u64,
     pub(crate) stage_ms: u64,
     pub(crate) step_ms: u64,
 }
 
-impl Weather {
-    pub(crate) const CALM: Self = Self {
+impl Conditions {
+    pub(crate) const HEALTHY: Self = Self {
         delay_min_ms: 1,
         delay_max_ms: 3,
         lost_permille: 0,
-        doubled_permille: 0,
+        duplicated_permille: 0,
         order_min_ms: 0,
         order_max_ms: 1,
         stage_ms: 300,
@@ -44,32 +44,32 @@
     };
 }
 
-/// What was found wrong.
+/// Failure found during a run.
 #[derive(Clone, Debug)]
 pub(crate) enum Finding {
-    TwoMaps { step: u64, maps: Vec<MapRef> },
-    Alarm(Violation),
+    MixedMaps { step: u64, maps: Vec<MapRef> },
+    Violation(Violation),
 }
 
 #[derive(Debug)]
 struct Agent {
     member: GroupMember,
     incarnation: Incarnation,
-    /// Inputs that wait while the process is frozen.
-    frozen: Option<Vec<GroupEvent>>,
+    /// Events received while the process is paused; `None` while it runs.
+    paused: Option<Vec<GroupEvent>>,
     orders: VecDeque<FencedOrder>,
     is_order_in_flight: bool,
 }
 
 #[derive(Debug, Default)]
 struct Engine {
-    life: u64,
+    generation: u64,
     state: EngineState,
     maps: IndexMap<MapRef, Arc<ExpertMap>>,
     seen: Fencing,
     fails_staging: bool,
-    /// Reports another map than it was granted.
-    is_confused: bool,
+    /// Whether it reports steps on a map other than the granted one.
+    reports_wrong_map: bool,
 }
 
 #[derive(Debug)]
@@ -83,9 +83,9 @@
 #[derive(Debug)]
 enum Delivery {
     Message { to: BackendServerId, message: GroupMessage },
-    Order { to: BackendServerId, life: u64, incarnation: Incarnation, order: FencedOrder },
+    Order { to: BackendServerId, generation: u64, incarnation: Incarnation, order: FencedOrder },
     Answer { to: BackendServerId, incarnation: Incarnation, events: Vec<GroupEvent> },
-    Staged { to: BackendServerId, life: u64, map: Arc<ExpertMap> },
+    Staged { to: BackendServerId, generation: u64, map: Arc<ExpertMap> },
     Document { to: BackendServerId, membership: Membership },
     Tick { to: BackendServerId, incarnation: Incarnation },
     Step,
@@ -93,54 +93,54 @@
 
 pub(crate) type Filter = fn(&GroupMessage) -> bool;
 
-/// The whole group, its network and its engines.
+/// A simulated group with its network and engines.
 pub(crate) struct Fleet {
     pub(crate) now_ms: u64,
     pub(crate) rng: ChaCha8Rng,
-    pub(crate) weather: Weather,
+    pub(crate) conditions: Conditions,
     pub(crate) mechanisms: Mechanisms,
     pub(crate) findings: Vec<Finding>,
     pub(crate) records: Vec<(u64, BackendServerId, GroupRecord)>,
     pub(crate) membership: Membership,
     pub(crate) last_step: u64,
     pub(crate) last_step_ms: u64,
-    /// Messages that match are kept back until [`Fleet::release`].
-    pub(crate) keeps_back: Option<Filter>,
-    pub(crate) drops: Option<Filter>,
-    /// Copies of messages that match are kept back; the messages go through.
-    pub(crate) copies: Option<Filter>,
-    /// Longest time between two steps so far.
+    /// Messages that match are held until [`Fleet::release_held_messages`].
+    pub(crate) hold_filter: Option<Filter>,
+    pub(crate) drop_filter: Option<Filter>,
+    /// Messages that match are delivered, and copies of them are held as well.
+    pub(crate) copy_filter: Option<Filter>,
+    /// Longest time between two steps since the test last reset it.
     pub(crate) longest_gap_ms: u64,
     pub(crate) messages: u64,
-    /// Size of all messages sent, in postcard's encoding; counted where asked for.
+    /// Total size of the sent messages in postcard encoding, if `counts_bytes` is set.
     pub(crate) bytes: u64,
     pub(crate) counts_bytes: bool,
-    /// Whether engines make a step only together with grants of the same epoch.
+    /// Whether engines step only if all of their grants have the same epoch.
     pub(crate) engines_match_epochs: bool,
-    /// Against what is asked of engines that ignore epochs.
+    /// Whether joining engines keep old grants, which engines that ignore epochs must not do.
     pub(crate) joining_engines_keep_grants: bool,
-    /// An engine reports every so many steps.
-    pub(crate) report_every: u64,
-    /// Agents keep loads back until [`Fleet::release_loads`].
-    pub(crate) holds_loads: bool,
-    held_loads: Vec<(BackendServerId, MapRef)>,
-    /// Share of started agents that know an old membership at first.
+    /// Number of steps between two reports of an engine.
+    pub(crate) report_interval_steps: u64,
+    /// Whether agents defer loads until [`Fleet::release_deferred_loads`].
+    pub(crate) defers_loads: bool,
+    deferred_loads: Vec<(BackendServerId, MapRef)>,
+    /// Share of agents that start with an old membership, in permille.
     pub(crate) stale_starts_permille: u32,
     old_memberships: Vec<Membership>,
     servers: IndexMap<BackendServerId, Server>,
-    cuts: IndexSet<(BackendServerId, BackendServerId)>,
-    kept_back: Vec<(BackendServerId, GroupMessage)>,
+    blocked_links: IndexSet<(BackendServerId, BackendServerId)>,
+    held_messages: Vec<(BackendServerId, GroupMessage)>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     deliveries: IndexMap<u64, Delivery>,
     sequence: u64,
-    processes: u64,
+    started_processes: u64,
 }
 
 pub(crate) fn server(index: usize) -> BackendServerId {
     BackendServerId::new(&format!("engine-{index}"))
 }
 
-/// The membership of the given servers, `ranks_per_server` ranks each.
+/// Returns the membership of the given servers with `ranks_per_server` ranks each.
 pub(crate) fn membership(revision: u64, indices: &[usize], ranks_per_server: u16) -> Membership {
     let group = ModelGroup {
         id: ModelGroupId::new("drafts"),
@@ -157,40 +157,40 @@
 }
 
 impl Fleet {
-    /// A fleet whose servers all start at once; those with an odd index check fencing.
+    /// Creates a fleet without running agents. Engines with an odd index check fencing.
     pub(crate) fn new(seed: u64, servers: usize) -> Self {
         let indices: Vec<usize> = (0..servers).collect();
         let mut fleet = Self {
             now_ms: 1_000_000,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            weather: Weather::CALM,
+            conditions: Conditions::HEALTHY,
             mechanisms: Mechanisms::ALL,
             findings: Vec::new(),
             records: Vec::new(),
             membership: membership(1, &indices, 1),
             last_step: 0,
             last_step_ms: 0,
-            keeps_back: None,
-            drops: None,
-            copies: None,
+            hold_filter: None,
+            drop_filter: None,
+            copy_filter: None,
             longest_gap_ms: 0,
             messages: 0,
             bytes: 0,
             counts_bytes: false,
             engines_match_epochs: true,
             joining_engines_keep_grants: false,
-            report_every: 1,
-            holds_loads: false,
-            held_loads: Vec::new(),
+            report_interval_steps: 1,
+            defers_loads: false,
+            deferred_loads: Vec::new(),
             stale_starts_permille: 0,
             old_memberships: Vec::new(),
             servers: IndexMap::new(),
-            cuts: IndexSet::new(),
-            kept_back: Vec::new(),
+            blocked_links: IndexSet::new(),
+            held_messages: Vec::new(),
             queue: BinaryHeap::new(),
             deliveries: IndexMap::new(),
             sequence: 0,
-            processes: 0,
+            started_processes: 0,
         };
         for index in indices {
             fleet.add_server(index, index % 2 == 1);
@@ -204,7 +204,7 @@
         self
     }
 
-    /// Starts every agent that does not run.
+    /// Starts every agent that is not running.
     pub(crate) fn start_all(&mut self) {
         for index in 0..self.servers.len() {
             self.start(index);
@@ -226,14 +226,14 @@
         self.servers.len()
     }
 
-    /// Starts an agent process, unless one runs: the loopback port admits only one.
+    /// Starts an agent unless one is running, since the loopback port excludes a second one.
     pub(crate) fn start(&mut self, index: usize) {
         let id = server(index);
         if self.servers[&id].agent.is_some() {
             return;
         }
-        self.processes += 1;
-        let incarnation = Incarnation(self.processes);
+        self.started_processes += 1;
+        let incarnation = Incarnation(self.started_processes);
         self.read_stale_document(&id);
         let settings = MemberSettings {
             server: id.clone(),
@@ -245,11 +245,11 @@
         let member = GroupMember::new(Now::at(self.now_ms), settings);
         let orders = VecDeque::new();
         self.servers[&id].agent =
-            Some(Agent { member, incarnation, frozen: None, orders, is_order_in_flight: false });
+            Some(Agent { member, incarnation, paused: None, orders, is_order_in_flight: false });
         self.after(1, Delivery::Tick { to: id, incarnation });
     }
 
-    /// A new process may find only an old document at first.
+    /// Makes the next agent start with an old document at random; the newest one follows later.
     fn read_stale_document(&mut self, id: &BackendServerId) {
         let is_stale = self.rng.random_ratio(self.stale_starts_permille, 1000);
         if let Some(old) = self.old_memberships.last().filter(|_| is_stale).cloned() {
@@ -260,22 +260,22 @@
         }
     }
 
-    /// Kills an agent. An order on its way to the engine still arrives.
+    /// Kills an agent. An order in transit to the engine still arrives.
     pub(crate) fn kill(&mut self, index: usize) {
         self.servers[&server(index)].agent = None;
     }
 
-    pub(crate) fn freeze(&mut self, index: usize) {
+    pub(crate) fn pause(&mut self, index: usize) {
         if let Some(agent) = &mut self.servers[&server(index)].agent {
-            agent.frozen.get_or_insert_default();
+            agent.paused.get_or_insert_default();
         }
     }
 
-    /// Wakes an agent: it first acts on its timers, then on what has arrived meanwhile.
-    pub(crate) fn thaw(&mut self, index: usize) {
+    /// Resumes an agent. It acts on its timers first, then on the events received meanwhile.
+    pub(crate) fn resume(&mut self, index: usize) {
         let id = server(index);
         let agent = self.servers[&id].agent.as_mut();
-        let Some(events) = agent.and_then(|agent| agent.frozen.take()) else {
+        let Some(events) = agent.and_then(|agent| agent.paused.take()) else {
             return;
         };
         self.handle(&id, GroupEvent::Tick);
@@ -284,36 +284,36 @@
         }
     }
 
-    /// Replaces the engine by an empty one.
+    /// Replaces the engine with an empty one.
     pub(crate) fn replace_engine(&mut self, index: usize) {
         let engine = &mut self.servers[&server(index)].engine;
-        *engine = Engine { life: engine.life + 1, ..Engine::default() };
+        *engine = Engine { generation: engine.generation + 1, ..Engine::default() };
     }
 
     pub(crate) fn fail_staging(&mut self, index: usize, fails: bool) {
         self.servers[&server(index)].engine.fails_staging = fails;
     }
 
-    pub(crate) fn confuse_engine(&mut self, index: usize) {
-        self.servers[&server(index)].engine.is_confused = true;
+    pub(crate) fn report_wrong_map(&mut self, index: usize) {
+        self.servers[&server(index)].engine.reports_wrong_map = true;
     }
 
-    /// Cuts both directions between two servers.
-    pub(crate) fn cut(&mut self, a: usize, b: usize) {
-        self.cut_way(a, b);
-        self.cut_way(b, a);
+    /// Blocks messages in both directions between two servers.
+    pub(crate) fn partition(&mut self, a: usize, b: usize) {
+        self.block_link(a, b);
+        self.block_link(b, a);
     }
 
-    pub(crate) fn cut_way(&mut self, from: usize, to: usize) {
-        self.cuts.insert((server(from), server(to)));
+    pub(crate) fn block_link(&mut self, from: usize, to: usize) {
+        self.blocked_links.insert((server(from), server(to)));
     }
 
     pub(crate) fn heal(&mut self) {
-        self.cuts.clear();
+        self.blocked_links.clear();
     }
 
-    /// Changes the members; each agent reads the new document after up to `spread_ms`.
-    pub(crate) fn change_membership(&mut self, indices: &[usize], ranks: u16, spread_ms: u64) {
+    /// Changes the membership; each agent adopts the new document within `within_ms`.
+    pub(crate) fn change_membership(&mut self, indices: &[usize], ranks: u16, within_ms: u64) {
         let revision = self.membership.epoch.revision + 1;
         let next = membership(revision, indices, ranks);
         let before = std::mem::replace(&mut self.membership, next);
@@ -323,13 +323,13 @@
             }
         }
         self.old_memberships.push(before);
-        self.spread_membership(spread_ms);
+        self.distribute_membership(within_ms);
     }
 
-    /// Gives every agent the newest member list within `spread_ms`.
-    pub(crate) fn spread_membership(&mut self, spread_ms: u64) {
+    /// Delivers the newest membership to every agent within `within_ms`.
+    pub(crate) fn distribute_membership(&mut self, within_ms: u64) {
         for index in 0..self.servers.len() {
-            let after_ms = self.rng.random_range(0..=spread_ms);
+            let after_ms = self.rng.random_range(0..=within_ms);
             let membership = self.membership.clone();
             self.after(after_ms, Delivery::Document { to: server(index), membership });
         }
@@ -341,16 +341,16 @@
 
     pub(crate) fn is_coordinator(&self, index: usize) -> bool {
         let agent = self.servers[&server(index)].agent.as_ref();
-        agent.is_some_and(|agent| agent.frozen.is_none() && agent.member.is_coordinator())
+        agent.is_some_and(|agent| agent.paused.is_none() && agent.member.is_coordinator())
     }
 
-    /// Whether some coordinator knows the content of the map in use.
+    /// Returns whether some coordinator knows the content of the map in use.
     pub(crate) fn is_map_known(&self) -> bool {
         let agents = self.servers.values().filter_map(|server| server.agent.as_ref());
         agents.filter_map(|agent| agent.member.map_in_use()).next().is_some()
     }
 
-    /// Proposes a map that differs from the uniform one by a random rotation of its ranks.
+    /// Proposes a uniform map with the ranks of each layer rotated at random.
     pub(crate) fn propose(&mut self) {
         let Some(index) = self.coordinator() else {
             return;
@@ -378,15 +378,15 @@
         self.now_ms = until_ms;
     }
 
-    /// Whether every server's agent runs, awake, on the newest document.
-    pub(crate) fn is_document_everywhere(&self) -> bool {
+    /// Returns whether every agent is running, not paused, and has adopted the newest document.
+    pub(crate) fn is_document_adopted_by_all(&self) -> bool {
         let is_awake =
-            |server: &Server| server.agent.as_ref().is_some_and(|agent| agent.frozen.is_none());
+            |server: &Server| server.agent.as_ref().is_some_and(|agent| agent.paused.is_none());
         let is_known = |server: &Server| server.known == self.membership;
         self.servers.values().all(|server| is_awake(server) && is_known(server))
     }
 
-    /// Runs until the condition holds, at most `limit_ms`; gives the time that it took.
+    /// Runs until the condition holds and returns the elapsed time, or `None` after `limit_ms`.
     pub(crate) fn run_until(
         &mut self,
         limit_ms: u64,
@@ -402,38 +402,38 @@
         Some(self.now_ms - start_ms)
     }
 
-    /// Whether a record of this kind has been written since the given moment.
+    /// Returns whether a matching audit record has been written since `since_ms`.
     pub(crate) fn has_record(&self, since_ms: u64, is: impl Fn(&GroupRecord) -> bool) -> bool {
         self.records.iter().any(|(at_ms, _, record)| *at_ms >= since_ms && is(record))
     }
 
-    /// Delivers what was kept back, in the order of sending, one message a millisecond.
-    pub(crate) fn release(&mut self) {
-        self.keeps_back = None;
-        self.copies = None;
-        let kept_back = std::mem::take(&mut self.kept_back);
-        for (after_ms, (to, message)) in (0..).zip(kept_back) {
+    /// Delivers the held messages in sending order, one per millisecond.
+    pub(crate) fn release_held_messages(&mut self) {
+        self.hold_filter = None;
+        self.copy_filter = None;
+        let held_messages = std::mem::take(&mut self.held_messages);
+        for (after_ms, (to, message)) in (0..).zip(held_messages) {
             self.after(after_ms, Delivery::Message { to, message });
         }
     }
 
-    /// Lets every load pass that was kept back; gives how many those were.
-    pub(crate) fn release_loads(&mut self) -> usize {
-        self.holds_loads = false;
-        let held = std::mem::take(&mut self.held_loads);
+    /// Reports every deferred load as due and returns their number.
+    pub(crate) fn release_deferred_loads(&mut self) -> usize {
+        self.defers_loads = false;
+        let held = std::mem::take(&mut self.deferred_loads);
         for (id, map) in &held {
             self.handle(id, GroupEvent::EngineStageDue(*map));
         }
         held.len()
     }
 
-    /// The bound of this fleet's stalls, for the present weather.
+    /// Returns the bound on the time without a step under the current conditions.
     pub(crate) fn stall_bound_ms(&self) -> u64 {
         let members = self.membership.servers.len() as u64;
-        let delay_ms = self.weather.delay_max_ms + self.weather.order_max_ms;
-        timing::stall_bound_ms(members, delay_ms, self.weather.stage_ms)
+        let delay_ms = self.conditions.delay_max_ms + self.conditions.order_max_ms;
+        timing::stall_bound_ms(members, delay_ms, self.conditions.stage_ms)
             + 2 * timing::TICK_MS
-            + self.weather.step_ms
+            + self.conditions.step_ms
     }
 
     fn after(&mut self, span_ms: u64, delivery: Delivery) {
@@ -445,11 +445,11 @@
     fn deliver(&mut self, delivery: Delivery) {
         match delivery {
             Delivery::Message { to, message } => self.handle(&to, GroupEvent::Received(message)),
-            Delivery::Order { to, life, incarnation, order } => {
-                self.carry_out(to, life, incarnation, order);
+            Delivery::Order { to, generation, incarnation, order } => {
+                self.execute_order(to, generation, incarnation, order);
             }
             Delivery::Answer { to, incarnation, events } => self.answer(&to, incarnation, events),
-            Delivery::Staged { to, life, map } => self.staged(&to, life, map),
+            Delivery::Staged { to, generation, map } => self.staged(&to, generation, map),
             Delivery::Document { to, membership } => {
                 let known = &mut self.servers[&to].known;
                 if known.epoch.revision < membership.epoch.revision {
@@ -467,7 +467,7 @@
         let Some(agent) = agent.filter(|agent| agent.incarnation == incarnation) else {
             return;
         };
-        if agent.frozen.is_none() {
+        if agent.paused.is_none() {
             self.handle(&to, GroupEvent::Tick);
         }
         self.after(timing::TICK_MS, Delivery::Tick { to, incarnation });
@@ -477,7 +477,7 @@
         let Some(agent) = &mut self.servers[to].agent else {
             return;
         };
-        if let Some(waiting) = &mut agent.frozen {
+        if let Some(waiting) = &mut agent.paused {
             waiting.push(event);
             return;
         }
@@ -492,12 +492,12 @@
         match action {
             GroupAction::Send { to, message } => self.send(from, to, message),
             GroupAction::Order(order) => {
-                let agent = self.servers[from].agent.as_mut().expect("acts while it runs");
+                let agent = self.servers[from].agent.as_mut().expect("a running agent");
                 agent.orders.push_back(order);
                 self.send_order(from);
             }
             GroupAction::ReportViolation(violation) => {
-                self.findings.push(Finding::Alarm(violation));
+                self.findings.push(Finding::Violation(violation));
             }
             GroupAction::Audit(record) => {
                 self.records.push((self.now_ms, from.clone(), record));
@@ -511,20 +511,20 @@
             let encoded = postcard::to_stdvec(&message).expect("messages are plain data");
             self.bytes += encoded.len() as u64;
         }
-        if self.copies.is_some_and(|copies| copies(&message)) {
-            self.kept_back.push((to.clone(), message.clone()));
+        if self.copy_filter.is_some_and(|copies| copies(&message)) {
+            self.held_messages.push((to.clone(), message.clone()));
         }
-        if self.cuts.contains(&(from.clone(), to.clone()))
-            || self.drops.is_some_and(|drops| drops(&message))
-            || self.rng.random_ratio(self.weather.lost_permille, 1000)
+        if self.blocked_links.contains(&(from.clone(), to.clone()))
+            || self.drop_filter.is_some_and(|drops| drops(&message))
+            || self.rng.random_ratio(self.conditions.lost_permille, 1000)
         {
             return;
         }
-        if self.keeps_back.is_some_and(|keeps| keeps(&message)) {
-            self.kept_back.push((to, message));
+        if self.hold_filter.is_some_and(|keeps| keeps(&message)) {
+            self.held_messages.push((to, message));
             return;
         }
-        if self.rng.random_ratio(self.weather.doubled_permille, 1000) {
+        if self.rng.random_ratio(self.conditions.duplicated_permille, 1000) {
             let after_ms = 20 * self.delay_ms();
             self.after(after_ms, Delivery::Message { to: to.clone(), message: message.clone() });
         }
@@ -533,17 +533,17 @@
     }
 
     fn delay_ms(&mut self) -> u64 {
-        self.rng.random_range(self.weather.delay_min_ms..=self.weather.delay_max_ms)
+        self.rng.random_range(self.conditions.delay_min_ms..=self.conditions.delay_max_ms)
     }
 
     fn order_ms(&mut self) -> u64 {
-        self.rng.random_range(self.weather.order_min_ms..=self.weather.order_max_ms)
+        self.rng.random_range(self.conditions.order_min_ms..=self.conditions.order_max_ms)
     }
 
     fn send_order(&mut self, from: &BackendServerId) {
         let server = &mut self.servers[from];
-        let life = server.engine.life;
-        let agent = server.agent.as_mut().expect("acts while it runs");
+        let generation = server.engine.generation;
+        let agent = server.agent.as_mut().expect("a running agent");
         if agent.is_order_in_flight {
             return;
         }
@@ -553,14 +553,14 @@
         agent.is_order_in_flight = true;
         let incarnation = agent.incarnation;
         let after_ms = self.order_ms();
-        self.after(after_ms, Delivery::Order { to: from.clone(), life, incarnation, order });
+        self.after(after_ms, Delivery::Order { to: from.clone(), generation, incarnation, order });
     }
 
-    /// The engine carries out an order, whether or not the agent that sent it still runs.
-    fn carry_out(
+    /// Executes an order in the engine, even if the agent that sent it is no longer running.
+    fn execute_order(
         &mut self,
         to: BackendServerId,
-        life: u64,
+        generation: u64,
         incarnation: Incarnation,
         fenced: FencedOrder,
     ) {
@@ -568,12 +568,12 @@
         let FencedOrder { id, fencing, order } = fenced;
         let mut events = Vec::new();
         if let EngineOrder::Stage { map } = &order
-            && self.holds_loads
+            && self.defers_loads
         {
-            self.held_loads.push((to.clone(), map.reference()));
+            self.deferred_loads.push((to.clone(), map.reference()));
             events.push(GroupEvent::EngineStageDeferred(map.reference()));
             events.push(GroupEvent::EngineFailed { id });
-        } else if server.engine.life != life {
+        } else if server.engine.generation != generation {
             events.push(GroupEvent::EngineFailed { id });
         } else {
             let is_old = server.checks_fencing && fencing < server.engine.seen;
@@ -584,8 +584,8 @@
                 let staged = server.engine.apply(order, &mut events);
                 events.push(GroupEvent::EngineAnswered { id, state: server.engine.state.clone() });
                 if let Some(map) = staged {
-                    let stage_ms = self.weather.stage_ms;
-                    self.after(stage_ms, Delivery::Staged { to: to.clone(), life, map });
+                    let stage_ms = self.conditions.stage_ms;
+                    self.after(stage_ms, Delivery::Staged { to: to.clone(), generation, map });
                 }
             }
         }
@@ -607,10 +607,10 @@
         }
     }
 
-    fn staged(&mut self, to: &BackendServerId, life: u64, map: Arc<ExpertMap>) {
+    fn staged(&mut self, to: &BackendServerId, generation: u64, map: Arc<ExpertMap>) {
         let engine = &mut self.servers[to].engine;
         let reference = map.reference();
-        if engine.life != life || engine.state.staging != Some(reference) {
+        if engine.generation != generation || engine.state.staging != Some(reference) {
             return;
         }
         engine.state.staging = None;
@@ -623,9 +623,9 @@
         self.handle(to, GroupEvent::EngineStaged(reference));
     }
 
-    /// Makes a step if every rank of the group is granted it.
+    /// Makes a step if it is granted to every rank of the group.
     fn step(&mut self) {
-        self.after(self.weather.step_ms, Delivery::Step);
+        self.after(self.conditions.step_ms, Delivery::Step);
         let members = self.membership.servers.clone();
         let states = || members.iter().map(|id| &self.servers[id].engine.state);
         let completed = states().map(|state| state.completed_step).max().unwrap_or(0);
@@ -639,13 +639,13 @@
         let Some(grants) = states().map(grant_of).collect::<Option<Vec<StepGrant>>>() else {
             return;
         };
-        let is_apart = grants.iter().any(|grant| grant.epoch != grants[0].epoch);
-        if self.engines_match_epochs && is_apart {
+        let has_mixed_epochs = grants.iter().any(|grant| grant.epoch != grants[0].epoch);
+        if self.engines_match_epochs && has_mixed_epochs {
             return;
         }
         let maps: Vec<MapRef> = grants.iter().map(|grant| grant.map).collect();
         if maps.iter().any(|map| *map != maps[0]) {
-            self.findings.push(Finding::TwoMaps { step, maps: maps.clone() });
+            self.findings.push(Finding::MixedMaps { step, maps: maps.clone() });
         }
         self.last_step = step;
         let gap_ms = self.now_ms - self.last_step_ms;
@@ -655,8 +655,8 @@
             let engine = &mut self.servers[id].engine;
             engine.state.completed_step = step;
             let other = MapRef { version: map.version + 1, ..map };
-            let map = if engine.is_confused { other } else { map };
-            if step.is_multiple_of(self.report_every) {
+            let map = if engine.reports_wrong_map { other } else { map };
+            if step.is_multiple_of(self.report_interval_steps) {
                 self.handle(id, GroupEvent::EngineReported(StepReport { rank, step, map }));
             }
         }
@@ -664,7 +664,7 @@
 }
 
 impl Engine {
-    /// Applies an order; gives the map whose load it starts.
+    /// Applies an order and returns the map whose load it starts, if any.
     fn apply(
         &mut self,
         order: EngineOrder,
@@ -699,8 +699,8 @@
 }
 
 impl Fleet {
-    /// Prints the audit trail of all members.
-    pub(crate) fn print_trail(&self) {
+    /// Prints the audit records of all members.
+    pub(crate) fn print_audit_records(&self) {
         for (at_ms, server, record) in &self.records {
             println!("{at_ms} {server} {record:?}");
         }
--- a/crates/core/tests/support/group_storm.rs
+++ b/crates/core/tests/support/group_random_run.rs
@@ -1,31 +1,32 @@
-//! One randomised run: spells of faults, each followed by a calm in which the group must step.
+//! Random runs: rounds of faults, each followed by a period without faults in which the group must
+//! step.
 
-use crate::group_fleet::{Fleet, Weather};
+use crate::group_fleet::{Conditions, Fleet};
 use hickorycross_core::group::{GroupRecord, Mechanisms};
 use rand::RngExt;
 
-const SPELLS: u64 = 4;
-const FAULTS_PER_SPELL: u64 = 20;
-const LONGEST_PAUSE_MS: u64 = 1_500;
-/// Time that the group goes on undisturbed once it steps again.
-const CALM_MS: u64 = 1_000;
+const ROUNDS: u64 = 4;
+const FAULTS_PER_ROUND: u64 = 20;
+const MAX_FAULT_INTERVAL_MS: u64 = 1_500;
+/// Time without faults after the group steps again.
+const STABLE_MS: u64 = 1_000;
 
-/// One run.
-pub(crate) struct Storm {
+/// A random run, determined by its seed.
+pub(crate) struct RandomRun {
     fleet: Fleet,
-    kind: Kind,
+    epoch_handling: EpochHandling,
 }
 
-/// What is asked of the engines, and what they are spared for it.
+/// Whether the engines check epochs, and the faults that the run injects accordingly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Kind {
-    /// Engines match epochs; documents overtake one another and agents start with old ones.
-    Matching,
-    /// Engines ignore epochs; a member list stands until every agent has read it.
-    Ignoring,
+pub(crate) enum EpochHandling {
+    /// Engines check epochs; documents may overtake each other and agents may start with old ones.
+    Checked,
+    /// Engines ignore epochs; the members change only after every agent has adopted the last list.
+    Ignored,
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug)]
 pub(crate) struct Outcome {
     pub(crate) fault: Option<String>,
@@ -36,7 +37,7 @@
     pub(crate) longest_permille_of_bound: u64,
 }
 
-/// Sums and maxima over runs.
+/// Sums and maxima over several runs.
 #[derive(Debug, Default)]
 pub(crate) struct Totals {
     pub(crate) virtual_ms: u64,
@@ -57,37 +58,38 @@
     }
 }
 
-impl Storm {
-    pub(crate) fn new(seed: u64, kind: Kind, mechanisms: Mechanisms) -> Self {
+impl RandomRun {
+    pub(crate) fn new(seed: u64, epoch_handling: EpochHandling, mechanisms: Mechanisms) -> Self {
         let mut fleet = Fleet::new(seed, 4).with_mechanisms(mechanisms);
         fleet.add_server(4, false);
         for index in 0..fleet.server_count() {
             let checks_fencing = fleet.rng.random();
             fleet.set_checks_fencing(index, checks_fencing);
         }
-        fleet.weather.step_ms = 20;
-        fleet.report_every = 4;
-        fleet.engines_match_epochs = kind == Kind::Matching;
-        fleet.stale_starts_permille = if kind == Kind::Ignoring { 0 } else { 300 };
+        fleet.conditions.step_ms = 20;
+        fleet.report_interval_steps = 4;
+        fleet.engines_match_epochs = epoch_handling == EpochHandling::Checked;
+        fleet.stale_starts_permille =
+            if epoch_handling == EpochHandling::Ignored { 0 } else { 300 };
         fleet.start_all();
-        Self { fleet, kind }
+        Self { fleet, epoch_handling }
     }
 
     pub(crate) fn run(mut self) -> Outcome {
         let start_ms = self.fleet.now_ms;
         let mut stalls = Vec::new();
         let mut fault = None;
-        for spell in 0..SPELLS {
-            self.disturb();
-            let bound_ms = self.calm();
+        for round in 0..ROUNDS {
+            self.inject_faults();
+            let bound_ms = self.end_faults();
             let stall_ms = self.fleet.run_until(bound_ms, |fleet| {
                 !fleet.findings.is_empty() || fleet.last_step_ms >= fleet.now_ms
             });
             stalls.push((stall_ms.unwrap_or(bound_ms), bound_ms));
-            self.fleet.run_for(CALM_MS);
-            fault = self.find_fault(spell, stall_ms, bound_ms);
+            self.fleet.run_for(STABLE_MS);
+            fault = self.find_fault(round, stall_ms, bound_ms);
             if fault.is_some() {
-                self.print_trail();
+                self.print_audit_records();
                 break;
             }
         }
@@ -104,54 +106,54 @@
         }
     }
 
-    /// Shows how it came about, where one seed is run alone.
-    fn print_trail(&self) {
+    /// Prints the audit records if a single seed is run.
+    fn print_audit_records(&self) {
         if std::env::var("HICKORYCROSS_SEED").is_ok() {
-            self.fleet.print_trail();
+            self.fleet.print_audit_records();
         }
     }
 
-    fn find_fault(&self, spell: u64, stall_ms: Option<u64>, bound_ms: u64) -> Option<String> {
+    fn find_fault(&self, round: u64, stall_ms: Option<u64>, bound_ms: u64) -> Option<String> {
         if let Some(finding) = self.fleet.findings.first() {
-            return Some(format!("spell {spell}: {finding:?}"));
+            return Some(format!("round {round}: {finding:?}"));
         }
         let idle_ms = self.fleet.now_ms - self.fleet.last_step_ms;
         (stall_ms.is_none() || idle_ms > bound_ms)
-            .then(|| format!("spell {spell}: no step within {bound_ms} ms"))
+            .then(|| format!("round {round}: no step within {bound_ms} ms"))
     }
 
-    /// Faults of all kinds, at random moments.
-    fn disturb(&mut self) {
-        self.fleet.weather = Weather {
+    /// Injects random faults at random times.
+    fn inject_faults(&mut self) {
+        self.fleet.conditions = Conditions {
             delay_max_ms: self.fleet.rng.random_range(2..200),
             lost_permille: self.fleet.rng.random_range(0..100),
-            doubled_permille: self.fleet.rng.random_range(0..300),
+            duplicated_permille: self.fleet.rng.random_range(0..300),
             order_max_ms: self.fleet.rng.random_range(1..400),
             stage_ms: self.fleet.rng.random_range(20..800),
-            ..self.fleet.weather
+            ..self.fleet.conditions
         };
-        for _ in 0..FAULTS_PER_SPELL {
+        for _ in 0..FAULTS_PER_ROUND {
             if self.fleet.rng.random_ratio(1, 2) {
                 self.fleet.propose();
             }
-            self.strike();
-            let pause_ms = self.fleet.rng.random_range(0..LONGEST_PAUSE_MS);
-            self.fleet.run_for(pause_ms);
+            self.inject_fault();
+            let interval_ms = self.fleet.rng.random_range(0..MAX_FAULT_INTERVAL_MS);
+            self.fleet.run_for(interval_ms);
         }
     }
 
-    fn strike(&mut self) {
+    fn inject_fault(&mut self) {
         let servers = self.fleet.server_count();
         let a = self.fleet.rng.random_range(0..servers);
         let b = self.fleet.rng.random_range(0..servers);
         match self.fleet.rng.random_range(0..30) {
             0..=1 => self.fleet.kill(a),
             2..=3 => self.fleet.kill(self.fleet.coordinator().unwrap_or(a)),
-            4..=10 => self.wake_all(),
-            11 => self.fleet.freeze(a),
-            12 => self.fleet.freeze(self.fleet.coordinator().unwrap_or(a)),
-            13 => self.fleet.cut(a, b),
-            14 => self.fleet.cut_way(a, b),
+            4..=10 => self.resume_all(),
+            11 => self.fleet.pause(a),
+            12 => self.fleet.pause(self.fleet.coordinator().unwrap_or(a)),
+            13 => self.fleet.partition(a, b),
+            14 => self.fleet.block_link(a, b),
             15..=19 => self.fleet.heal(),
             20..=21 => self.fleet.replace_engine(a),
             22..=23 => self.change_members(),
@@ -159,15 +161,16 @@
         }
     }
 
-    fn wake_all(&mut self) {
+    fn resume_all(&mut self) {
         for index in 0..self.fleet.server_count() {
-            self.fleet.thaw(index);
+            self.fleet.resume(index);
         }
         self.fleet.start_all();
     }
 
     fn change_members(&mut self) {
-        if self.kind == Kind::Ignoring && !self.fleet.is_document_everywhere() {
+        if self.epoch_handling == EpochHandling::Ignored && !self.fleet.is_document_adopted_by_all()
+        {
             return;
         }
         let servers = self.fleet.server_count();
@@ -177,12 +180,12 @@
         self.fleet.change_membership(&indices, ranks, 4_000);
     }
 
-    /// Ends all faults; gives the bound within which the group must step.
-    fn calm(&mut self) -> u64 {
+    /// Ends all faults and returns the bound within which the group must step.
+    fn end_faults(&mut self) -> u64 {
         self.fleet.heal();
-        self.fleet.weather = Weather { step_ms: 20, ..Weather::CALM };
-        self.wake_all();
-        self.fleet.spread_membership(0);
+        self.fleet.conditions = Conditions { step_ms: 20, ..Conditions::HEALTHY };
+        self.resume_all();
+        self.fleet.distribute_membership(0);
         self.fleet.stall_bound_ms()
     }
 }
