--- a/crates/core/src/group/audit.rs
+++ b/crates/core/src/group/audit.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// A rank made a step on a map other than the one granted for it.
-    #[error("rank {rank} made step {step} on map {used}, but map {granted} was granted")]
+    #[error("rank {rank} made step {step} on map {used}, granted was {granted}")]
     WrongMap {
         /// The rank.
         rank: u16,
@@ -21,7 +21,7 @@
         granted: MapRef,
     },
     /// A rank made a step after the last one granted.
-    #[error("rank {rank} made step {step}, but steps were granted only up to {through_step}")]
+    #[error("rank {rank} made step {step}, granted were steps up to {through_step}")]
     StepWithoutGrant {
         /// The rank.
         rank: u16,
