--- a/crates/agent/src/on_platform.rs
+++ b/crates/agent/src/on_platform.rs
@@ -1,7 +1,7 @@
 //! The command that runs an agent on the users' platform.
 
 use clap::Command;
-use hickorycross_platform::{RankClients, SettingsFile};
+use hickorycross_platform::{HttpRankClients, SettingsFile};
 use miette::IntoDiagnostic;
 use std::rc::Rc;
 use tokio::task::LocalSet;
@@ -18,7 +18,7 @@
 pub(crate) fn run() -> miette::Result<()> {
     let mut file = SettingsFile::from_environment()?;
     let settings = file.read()?;
-    let ranks = Rc::new(RankClients::new().into_diagnostic()?);
+    let ranks = Rc::new(HttpRankClients::new().into_diagnostic()?);
     // A machine gives a part of one core: further threads would only take turns.
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().into_diagnostic()?;
