--- a/crates/config/examples/write_schema.rs
+++ b/crates/config/examples/write_schema.rs
@@ -1,4 +1,4 @@
-//! Prints the JSON schema of the document, as committed in `docs/document.schema.json`.
+//! Prints the JSON schema of the document; its output is committed as `docs/document.schema.json`.
 
 fn main() {
     println!("{:#}", hickorycross_config::schema());
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two documents, in operators' terms.
+//! Lists the differences between two documents, named by the entities that operators edit.
 
 use crate::document::{Document, SHORT_HASH_DIGITS};
 use crate::ids::{BackendServerId, FailureDomainId, ModelGroupId, RouteId, TeamId, TierId};
@@ -7,14 +7,14 @@
 use serde_json::Value;
 use std::fmt;
 
-/// The list whose items no message shows in full.
-const KEY_HASHES: &str = "key_hashes";
+/// Name of the list whose items every message cuts to [`SHORT_HASH_DIGITS`] digits.
+const KEY_HASHES_FIELD: &str = "key_hashes";
 
-/// A part of a document that operators know by name.
+/// A part of a document that a change refers to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Entity {
-    /// The document itself, such as its title or the order of its lists.
+    /// The document itself, for changes such as its title or the order of one of its lists.
     Document,
     /// A failure domain.
     FailureDomain(FailureDomainId),
@@ -28,7 +28,7 @@
     ModelGroup(ModelGroupId),
     /// A route.
     Route(RouteId),
-    /// The weights of skew and of rebalancing cost.
+    /// The [`Balance`](crate::Balance) settings.
     Balance,
 }
 
@@ -47,38 +47,38 @@
     }
 }
 
-/// What happened to an entity. Key hashes are cut to their first 8 digits.
+/// How an entity changed. Key hashes are cut to their first 8 digits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Edit {
-    /// It is new.
+    /// The entity is in the new document only.
     Added,
-    /// It is gone.
+    /// The entity is in the old document only.
     Removed,
-    /// A field has another value.
+    /// A field has a different value.
     Field {
         /// Path of the field within the entity, such as `limit.requests_per_s`.
         field: String,
-        /// The value before; none where the field did not exist.
+        /// The value in the old document; `None` if the field did not exist.
         old: Option<Value>,
-        /// The value after; none where the field no longer exists.
+        /// The value in the new document; `None` if the field no longer exists.
         new: Option<Value>,
     },
-    /// A list has a further item.
+    /// An item was added to a list.
     ItemAdded {
         /// Path of the list within the entity.
         field: String,
-        /// The item.
+        /// The item, or the first digits of it if it is a key hash.
         item: Value,
     },
-    /// A list has lost an item.
+    /// An item was removed from a list.
     ItemRemoved {
         /// Path of the list within the entity.
         field: String,
-        /// The item.
+        /// The item, or the first digits of it if it is a key hash.
         item: Value,
     },
-    /// The items that a list kept stand in another order.
+    /// The items that both lists contain are in a different order.
     Reordered {
         /// Path of the list within the entity.
         field: String,
@@ -91,21 +91,32 @@
             Self::Added => f.write_str("added"),
             Self::Removed => f.write_str("removed"),
             Self::Field { field, old, new } => {
-                write!(f, "{field} {} -> {}", Shown(old.as_ref()), Shown(new.as_ref()))
+                write!(
+                    f,
+                    "{field} {} -> {}",
+                    DisplayValue(old.as_ref()),
+                    DisplayValue(new.as_ref())
+                )
+            }
+            Self::ItemAdded { field, item } => {
+                write!(f, "{field} added {}", DisplayValue(Some(item)))
+            }
+            Self::ItemRemoved { field, item } => {
+                write!(f, "{field} removed {}", DisplayValue(Some(item)))
             }
-            Self::ItemAdded { field, item } => write!(f, "{field} added {}", Shown(Some(item))),
-            Self::ItemRemoved { field, item } => write!(f, "{field} removed {}", Shown(Some(item))),
             Self::Reordered { field } => write!(f, "{field} reordered"),
         }
     }
 }
 
-/// One change, such as `team spelling-school-3: limit.requests_per_s 40 -> 80`.
+/// One change between two documents.
+///
+/// It is displayed as a line such as `team spelling-school-3: limit.requests_per_s 40 -> 80`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// What changed.
+    /// The entity that changed.
     pub entity: Entity,
-    /// How.
+    /// How the entity changed.
     pub edit: Edit,
 }
 
@@ -115,33 +126,40 @@
     }
 }
 
-/// Lists every change from one valid document to another; empty if and only if they are equal.
+/// Returns every change from one valid document to another.
 ///
-/// Within an entity the changes come in alphabetical order of their fields.
+/// The list is empty if and only if the documents are equal. The changes of one entity are in
+/// alphabetical order of their fields.
 #[must_use]
 pub fn diff(old: &Document, new: &Document) -> Vec<Change> {
-    let mut old_parts = Parts::of(old);
-    let mut new_parts = Parts::of(new);
+    let mut old_sections = Sections::of(old);
+    let mut new_sections = Sections::of(new);
     let mut changes = Vec::new();
-    for (list, entity_of) in LISTS {
-        let old_entries = old_parts.take_list(list);
-        let new_entries = new_parts.take_list(list);
-        diff_list(list, entity_of, &old_entries, &new_entries, &mut changes);
+    for (list, entity_from_id) in ENTITY_LISTS {
+        let old_entries = old_sections.take_list(list);
+        let new_entries = new_sections.take_list(list);
+        diff_list(list, entity_from_id, &old_entries, &new_entries, &mut changes);
     }
     diff_entity(
         &Entity::Balance,
-        &old_parts.take("balance"),
-        &new_parts.take("balance"),
+        &old_sections.take("balance"),
+        &new_sections.take("balance"),
+        &mut changes,
+    );
+    diff_entity(
+        &Entity::Document,
+        &old_sections.into_remaining(),
+        &new_sections.into_remaining(),
         &mut changes,
     );
-    diff_entity(&Entity::Document, &old_parts.rest(), &new_parts.rest(), &mut changes);
     changes
 }
 
-type EntityOf = fn(&str) -> Entity;
+/// Returns the entity that has the given id.
+type EntityFromId = fn(&str) -> Entity;
 
-/// The lists of named entities, each with the entity that a name stands for.
-const LISTS: [(&str, EntityOf); 6] = [
+/// The document's lists of entities, each with the function that maps an id to its [`Entity`].
+const ENTITY_LISTS: [(&str, EntityFromId); 6] = [
     ("failure_domains", |id| Entity::FailureDomain(id.into())),
     ("tiers", |id| Entity::Tier(id.into())),
     ("teams", |id| Entity::Team(id.into())),
@@ -150,11 +168,13 @@
     ("routes", |id| Entity::Route(id.into())),
 ];
 
-/// A document as JSON, from which the parts are taken one by one: what nothing took is compared
-/// field by field, so no field can be forgotten.
-struct Parts(Value);
+/// A document as JSON, from which [`diff`] removes each section that it compares.
+///
+/// The members that remain are compared as fields of the document itself, so a field that is added
+/// to [`Document`] cannot be missed.
+struct Sections(Value);
 
-impl Parts {
+impl Sections {
     fn of(document: &Document) -> Self {
         Self(serde_json::to_value(document).expect("a document has only text keys"))
     }
@@ -169,7 +189,7 @@
         entries.into_iter().map(|entry| (id_of(&entry), entry)).collect()
     }
 
-    fn rest(self) -> Value {
+    fn into_remaining(self) -> Value {
         self.0
     }
 }
@@ -180,20 +200,20 @@
 
 fn diff_list(
     list: &str,
-    entity_of: EntityOf,
+    entity_from_id: EntityFromId,
     old: &IndexMap<String, Value>,
     new: &IndexMap<String, Value>,
     changes: &mut Vec<Change>,
 ) {
     for (id, old_entry) in old {
-        let entity = entity_of(id);
+        let entity = entity_from_id(id);
         match new.get(id) {
             Some(new_entry) => diff_entity(&entity, old_entry, new_entry, changes),
             None => changes.push(Change { entity, edit: Edit::Removed }),
         }
     }
     for id in new.keys().filter(|id| !old.contains_key(*id)) {
-        changes.push(Change { entity: entity_of(id), edit: Edit::Added });
+        changes.push(Change { entity: entity_from_id(id), edit: Edit::Added });
     }
     if is_reordered(&old.keys().collect(), &new.keys().collect()) {
         let edit = Edit::Reordered { field: list.to_owned() };
@@ -231,25 +251,28 @@
     let old_items: IndexSet<&Value> = old.iter().collect();
     let new_items: IndexSet<&Value> = new.iter().collect();
     for item in old_items.difference(&new_items) {
-        edits.push(Edit::ItemRemoved { field: field.to_owned(), item: shorten(field, item) });
+        edits.push(Edit::ItemRemoved {
+            field: field.to_owned(),
+            item: redact_key_hash(field, item),
+        });
     }
     for item in new_items.difference(&old_items) {
-        edits.push(Edit::ItemAdded { field: field.to_owned(), item: shorten(field, item) });
+        edits.push(Edit::ItemAdded { field: field.to_owned(), item: redact_key_hash(field, item) });
     }
     if is_reordered(&old_items, &new_items) {
         edits.push(Edit::Reordered { field: field.to_owned() });
     }
 }
 
-/// Whether the items that both lists have stand in another order.
+/// Returns whether the items that both lists contain are in a different order.
 fn is_reordered<T: std::hash::Hash + Eq>(old: &IndexSet<T>, new: &IndexSet<T>) -> bool {
     !old.intersection(new).eq(new.intersection(old))
 }
 
-/// Cuts a key hash to the digits that messages may show; leaves other items as they are.
-fn shorten(field: &str, item: &Value) -> Value {
+/// Cuts an item of `key_hashes` to the digits that messages may show; clones any other item.
+fn redact_key_hash(field: &str, item: &Value) -> Value {
     match item.as_str() {
-        Some(hash) if field == KEY_HASHES => {
+        Some(hash) if field == KEY_HASHES_FIELD => {
             let shown: String = hash.chars().take(SHORT_HASH_DIGITS).collect();
             Value::from(shown)
         }
@@ -257,7 +280,7 @@
     }
 }
 
-/// The fields of an entity by path; a list is one field.
+/// Returns the fields of an entity by their path. Objects are flattened; a list is one field.
 fn fields_of(entity: &Value) -> IndexMap<String, &Value> {
     let mut fields = IndexMap::new();
     collect_fields(entity, "", &mut fields);
@@ -275,20 +298,20 @@
     }
 }
 
-/// A value as a change shows it: texts that need no quotes have none.
-struct Shown<'a>(Option<&'a Value>);
+/// Formats a value for a change line: as JSON, but without quotes around plain identifiers.
+struct DisplayValue<'a>(Option<&'a Value>);
 
-impl fmt::Display for Shown<'_> {
+impl fmt::Display for DisplayValue<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             None => f.write_str("nothing"),
-            Some(Value::String(text)) if is_plain(text) => f.write_str(text),
+            Some(Value::String(text)) if needs_no_quotes(text) => f.write_str(text),
             Some(value) => write!(f, "{value}"),
         }
     }
 }
 
-fn is_plain(text: &str) -> bool {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"._:/@+~-".contains(&byte);
-    !text.is_empty() && text.bytes().all(plain)
+fn needs_no_quotes(text: &str) -> bool {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._:/@+~-".contains(&byte);
+    !text.is_empty() && text.bytes().all(is_allowed)
 }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,7 +1,9 @@
 //! The types of the document, as operators write it in JSON.
 //!
-//! Spans of time that an operator chooses are written as spans (`key_horizon_ms`): a document has
-//! no moment of its own. The running programs turn each into a deadline before they store it.
+//! Times are written as durations (`key_horizon_ms`), because a document has no point in time to
+//! count from. The processes convert each duration to a deadline before they store it.
+//!
+//! The doc comments of types and fields are the descriptions in the JSON schema.
 
 use crate::ids::{
     BackendServerId, FailureDomainId, ModelGroupId, RegionId, RouteId, TeamId, TierId,
@@ -11,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use serde_with::serde_as;
 
-/// The schema version that this release writes and the highest that it accepts.
+/// The schema version that this release writes, and the highest that it accepts.
 pub const SCHEMA_VERSION: u32 = 1;
 
 /// Everything that defines the behaviour of a fleet.
@@ -105,11 +107,13 @@
     pub [u8; 32],
 );
 
-/// Hexadecimal digits of a key hash that messages show.
+/// Number of hexadecimal digits of a key hash that messages show.
 pub(crate) const SHORT_HASH_DIGITS: usize = 8;
 
 impl KeyHash {
-    /// The first 8 hexadecimal digits: enough to tell keys apart, too few to test a guess by.
+    /// Returns the first 8 hexadecimal digits.
+    ///
+    /// These distinguish the keys of a fleet, but are too few to test a guessed key against.
     #[must_use]
     pub fn short(&self) -> String {
         hex::encode(&self.0[..SHORT_HASH_DIGITS / 2])
@@ -199,7 +203,7 @@
 }
 
 impl ModelGroup {
-    /// Ranks of the group over all its backend servers.
+    /// Returns the number of ranks on all backend servers of the group.
     #[must_use]
     pub fn ranks(&self) -> u64 {
         self.backend_servers.len() as u64 * u64::from(self.ranks_per_server)
@@ -271,12 +275,14 @@
 }
 
 impl Document {
-    /// The document as JSON for people: indented, fields in the order of this module, lists in
-    /// their own order. Equal documents give equal texts.
+    /// Returns the document as indented JSON.
+    ///
+    /// Fields are in the order of the type definitions, and lists keep their order, so equal
+    /// documents give equal texts.
     ///
     /// # Panics
     ///
-    /// Never: a document's keys are all texts, which is all that the writer could refuse.
+    /// Never: serialisation fails only for keys that are not text, and a document has none.
     #[must_use]
     pub fn canonical_json(&self) -> String {
         let mut text = serde_json::to_string_pretty(self).expect("a document has only text keys");
@@ -284,7 +290,9 @@
         text
     }
 
-    /// The backend servers that a target leads to, in document order.
+    /// Returns the backend servers of a target, in the order that the document lists them.
+    ///
+    /// For a model target these are the backend servers of all its groups.
     #[must_use]
     pub fn backends_of<'a>(&'a self, target: &'a Target) -> Vec<&'a BackendServerId> {
         match target {
@@ -295,7 +303,9 @@
         }
     }
 
-    /// The models that callers reach through a target; none for a service.
+    /// Returns the models that a target serves; empty for a service.
+    ///
+    /// All groups of a target serve the same models, so the first group's list is returned.
     #[must_use]
     pub fn models_of<'a>(&'a self, target: &'a Target) -> &'a [String] {
         match target {
@@ -310,31 +320,31 @@
         ids.iter().filter_map(|id| self.group(id.as_str()))
     }
 
-    /// Finds a model group by name.
+    /// Returns the model group with the given id.
     #[must_use]
     pub fn group(&self, id: &str) -> Option<&ModelGroup> {
         self.model_groups.iter().find(|group| group.id.as_str() == id)
     }
 
-    /// Finds a backend server by name.
+    /// Returns the backend server with the given id.
     #[must_use]
     pub fn backend(&self, id: &str) -> Option<&BackendServer> {
         self.backend_servers.iter().find(|server| server.id.as_str() == id)
     }
 
-    /// Finds a route by name.
+    /// Returns the route with the given id.
     #[must_use]
     pub fn route(&self, id: &str) -> Option<&Route> {
         self.routes.iter().find(|route| route.id.as_str() == id)
     }
 
-    /// Finds a tier by name.
+    /// Returns the tier with the given id.
     #[must_use]
     pub fn tier(&self, id: &str) -> Option<&Tier> {
         self.tiers.iter().find(|tier| tier.id.as_str() == id)
     }
 
-    /// Finds the team that an API key belongs to.
+    /// Returns the team that lists the given API key hash.
     #[must_use]
     pub fn team_by_key(&self, hash: &KeyHash) -> Option<&Team> {
         self.teams.iter().find(|team| team.key_hashes.contains(hash))
--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -1,17 +1,17 @@
-//! A fault found in a document.
+//! The fault type that parsing and validation report.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One fault: where, what stands there and what would be allowed.
+/// One fault in a document: its path, the value found there and the values allowed there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{path}: found {value}, allowed is {allowed}")]
 pub struct Fault {
-    /// JSON path, such as `teams[2].tier`; `$` is the whole document.
+    /// JSON path of the value, such as `teams[2].tier`; `$` is the whole document.
     pub path: String,
-    /// The value found, shortened.
+    /// Description of the value found; long texts are cut and secrets left out.
     pub value: String,
-    /// What is allowed there.
+    /// Description of the values allowed there.
     pub allowed: String,
 }
 
--- a/crates/config/src/ids.rs
+++ b/crates/config/src/ids.rs
@@ -1,4 +1,6 @@
-//! Names that operators give to the entities of a document.
+//! Identifier types for the entities of a document.
+//!
+//! The doc comments of these types are descriptions in the JSON schema.
 
 use crate::syntax::{ID_ALLOWED, ID_PATTERN};
 use serde::{Deserialize, Serialize};
@@ -6,6 +8,7 @@
 use std::fmt;
 use std::sync::Arc;
 
+/// Defines an identifier type that holds a shared text and is written to JSON as that text.
 macro_rules! name_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -16,13 +19,13 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Makes an identifier from its text.
+            /// Creates an identifier from its text. The syntax is checked by validation only.
             #[must_use]
             pub fn new(text: &str) -> Self {
                 Self(Arc::from(text))
             }
 
-            /// The text as the document spells it.
+            /// Returns the text of the identifier, as written in the document.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,13 @@
-//! The one document that defines how a hickorycross fleet behaves.
+//! The configuration document that defines the behaviour of a hickorycross fleet.
 //!
-//! Operators fill in the console's forms; the result is one JSON [`Document`]. This crate holds
-//! its types, [`validate`] (every fault at once), its [`schema`], what a change does ([`diff`],
-//! [`warnings`]), its [`Digest`] and the order in which revisions replace one another ([`Stamp`]).
+//! Operators edit the configuration in the console's forms, which produce one JSON [`Document`].
+//! This crate defines:
+//!
+//! - the types of the document and their JSON [`schema`],
+//! - [`parse`] and [`validate`], which report all faults of a document together,
+//! - [`diff`] and [`warnings`], which list the changes between two documents and what those
+//!   changes take from callers or from running work,
+//! - [`Digest`] and [`Stamp`], which identify and order the published revisions.
 //!
 //! ```
 //! let faults = hickorycross_config::parse(b"{}").unwrap_err();
@@ -14,9 +19,9 @@
 mod document;
 mod fault;
 mod ids;
+mod json_path;
 mod limits;
 mod parse;
-mod path;
 mod schema;
 mod strict_json;
 mod syntax;
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,7 +1,7 @@
 //! The JSON schema of the document.
 //!
-//! The schema is the one place that says what a single field may hold: its type, range, length
-//! and syntax. Validation walks it, forms may read it, and it is committed as
+//! The schema is the only definition of what a single field may hold: its type, range, length and
+//! syntax. Validation checks fields against it, forms may read it, and a copy is committed as
 //! `docs/document.schema.json`.
 
 use crate::document::Document;
@@ -12,21 +12,21 @@
 
 /// Generates the JSON schema (draft 2020-12) of [`Document`].
 ///
-/// Beside the standard keywords, `x-allowed` words a syntax for people, and `x-secret` marks a
-/// value that no message may quote.
+/// In addition to the standard keywords, `x-allowed` describes a syntax in words for messages, and
+/// `x-secret` marks a value that no message may contain.
 #[must_use]
 pub fn schema() -> Value {
     schemars::schema_for!(Document).to_value()
 }
 
-/// The schema with its patterns compiled.
+/// The schema of [`Document`] with its regular expressions compiled.
 pub(crate) struct CompiledSchema {
     root: Value,
     patterns: IndexMap<String, Regex>,
 }
 
-/// The schema of [`Document`], compiled once.
-pub(crate) static COMPILED: LazyLock<CompiledSchema> = LazyLock::new(CompiledSchema::new);
+/// The compiled schema of [`Document`], built on first use.
+pub(crate) static DOCUMENT_SCHEMA: LazyLock<CompiledSchema> = LazyLock::new(CompiledSchema::new);
 
 impl CompiledSchema {
     fn new() -> Self {
@@ -36,12 +36,12 @@
         Self { root, patterns }
     }
 
-    /// The schema of the whole document.
+    /// Returns the schema of the whole document.
     pub(crate) fn root(&self) -> &Value {
         &self.root
     }
 
-    /// Follows references until a schema of its own is met.
+    /// Follows `$ref` references until a schema without one; `null` if a reference has no target.
     pub(crate) fn resolve<'a>(&'a self, schema: &'a Value) -> &'a Value {
         let mut resolved = schema;
         while let Some(reference) = resolved.get("$ref").and_then(Value::as_str) {
@@ -51,7 +51,7 @@
         resolved
     }
 
-    /// Whether a text has the syntax that a schema asks for; so has any text where it asks none.
+    /// Returns whether a text matches a schema's pattern; true if the schema has no pattern.
     pub(crate) fn matches_pattern(&self, schema: &Value, text: &str) -> bool {
         let pattern = schema.get("pattern").and_then(Value::as_str);
         let compiled = pattern.and_then(|pattern| self.patterns.get(pattern));
--- a/crates/config/src/strict_json.rs
+++ b/crates/config/src/strict_json.rs
@@ -1,32 +1,37 @@
-//! Reads JSON and reports every repeated key.
+//! A JSON parser that reports every repeated key of an object.
 //!
-//! Plain parsers keep the last of two members of one name. An operator who pastes a second
-//! `limit` below the first would see one and run the other, so a repeated key is a fault.
+//! Common parsers silently keep the last of several members with the same key. An operator who
+//! pastes a second `limit` below the first could read one while the fleet applies the other, so a
+//! repeated key is a fault.
 
 use crate::fault::Fault;
-use crate::path::Path;
+use crate::json_path::JsonPath;
 use serde::de::{DeserializeSeed, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
 use std::fmt;
 
-/// Reads a JSON value and adds a fault for each repeated key.
+/// Parses a JSON value and adds a fault for each repeated key.
 ///
 /// # Errors
 ///
-/// The parser's error where the bytes are not JSON.
-pub(crate) fn read(bytes: &[u8], faults: &mut Vec<Fault>) -> Result<Value, serde_json::Error> {
+/// Returns the parser's error if the bytes are not one JSON value.
+pub(crate) fn parse_value(
+    bytes: &[u8],
+    faults: &mut Vec<Fault>,
+) -> Result<Value, serde_json::Error> {
     let mut reader = serde_json::Deserializer::from_slice(bytes);
-    let value = Seed { path: Path::Root, faults }.deserialize(&mut reader)?;
+    let value = ValueSeed { path: JsonPath::Root, faults }.deserialize(&mut reader)?;
     reader.end()?;
     Ok(value)
 }
 
-struct Seed<'p, 'f> {
-    path: Path<'p>,
+/// Deserialises the value at a path and collects the faults of its members.
+struct ValueSeed<'p, 'f> {
+    path: JsonPath<'p>,
     faults: &'f mut Vec<Fault>,
 }
 
-impl<'de> DeserializeSeed<'de> for Seed<'_, '_> {
+impl<'de> DeserializeSeed<'de> for ValueSeed<'_, '_> {
     type Value = Value;
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Value, D::Error> {
@@ -34,7 +39,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Seed<'_, '_> {
+impl<'de> Visitor<'de> for ValueSeed<'_, '_> {
     type Value = Value;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -68,8 +73,8 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<Value, A::Error> {
         let mut entries = Vec::new();
         loop {
-            let path = self.path.entry(entries.len());
-            match list.next_element_seed(Seed { path, faults: &mut *self.faults })? {
+            let path = self.path.element(entries.len());
+            match list.next_element_seed(ValueSeed { path, faults: &mut *self.faults })? {
                 Some(entry) => entries.push(entry),
                 None => return Ok(Value::Array(entries)),
             }
@@ -80,7 +85,7 @@
         let mut members = Map::new();
         while let Some(key) = map.next_key::<String>()? {
             let path = self.path.member(&key);
-            let member = map.next_value_seed(Seed { path, faults: &mut *self.faults })?;
+            let member = map.next_value_seed(ValueSeed { path, faults: &mut *self.faults })?;
             if members.contains_key(&key) {
                 self.faults.push(Fault::new(&path, "a repeated key", "each key once"));
             }
--- a/crates/config/src/validate/duplicates.rs
+++ b/crates/config/src/validate/duplicates.rs
@@ -1,14 +1,14 @@
-//! What must be distinct: names, tier ranks, key hashes, models and path prefixes.
+//! The rule that ids, tier ranks, key hashes, models, path prefixes and references are unique.
 
 use super::Rule;
-use super::found::found_text;
+use super::describe_value::describe_text;
 use crate::document::{Document, KeyHash, ModelGroup, Target};
 use crate::fault::Fault;
 use indexmap::map::Entry;
 use indexmap::{IndexMap, IndexSet};
 use std::hash::Hash;
 
-/// Names and other identities occur once.
+/// Requires that each id and each other identifying value occurs once.
 pub(crate) struct Duplicates;
 
 impl Rule for Duplicates {
@@ -17,31 +17,32 @@
         check_tier_ranks(document, faults);
         check_key_hashes(document, faults);
         check_models(document, faults);
-        check_members(document, faults);
+        check_backend_servers(document, faults);
         check_path_prefixes(document, faults);
         check_group_routes(document, faults);
     }
 }
 
-/// Identities met so far, each with the path where it stands.
-struct Seen<'a, K> {
+/// The values found so far, each with the path of its first occurrence.
+struct UniqueValues<'a, K> {
     paths: IndexMap<K, String>,
     faults: &'a mut Vec<Fault>,
 }
 
-impl<'a, K: Hash + Eq> Seen<'a, K> {
+impl<'a, K: Hash + Eq> UniqueValues<'a, K> {
     fn new(faults: &'a mut Vec<Fault>) -> Self {
         Self { paths: IndexMap::new(), faults }
     }
 
-    fn meet(&mut self, key: K, path: String, value: impl Into<String>) {
+    /// Records a value, or adds a fault if it was recorded before.
+    fn insert(&mut self, key: K, path: String, value: impl Into<String>) {
         match self.paths.entry(key) {
             Entry::Occupied(first) => {
                 let allowed = format!("a value other than that of {}", first.get());
                 self.faults.push(Fault::new(&path, value, allowed));
             }
-            Entry::Vacant(place) => {
-                place.insert(path);
+            Entry::Vacant(vacant) => {
+                vacant.insert(path);
             }
         }
     }
@@ -49,103 +50,114 @@
 
 fn check_ids(document: &Document, faults: &mut Vec<Fault>) {
     let ids = document.failure_domains.iter().map(|domain| domain.id.as_str());
-    check_list("failure_domains", ids, faults);
-    check_list("tiers", document.tiers.iter().map(|tier| tier.id.as_str()), faults);
-    check_list("teams", document.teams.iter().map(|team| team.id.as_str()), faults);
+    check_ids_of_list("failure_domains", ids, faults);
+    check_ids_of_list("tiers", document.tiers.iter().map(|tier| tier.id.as_str()), faults);
+    check_ids_of_list("teams", document.teams.iter().map(|team| team.id.as_str()), faults);
     let ids = document.backend_servers.iter().map(|server| server.id.as_str());
-    check_list("backend_servers", ids, faults);
-    check_list("model_groups", document.model_groups.iter().map(|group| group.id.as_str()), faults);
-    check_list("routes", document.routes.iter().map(|route| route.id.as_str()), faults);
+    check_ids_of_list("backend_servers", ids, faults);
+    check_ids_of_list(
+        "model_groups",
+        document.model_groups.iter().map(|group| group.id.as_str()),
+        faults,
+    );
+    check_ids_of_list("routes", document.routes.iter().map(|route| route.id.as_str()), faults);
 }
 
-fn check_list<'a>(list: &str, ids: impl Iterator<Item = &'a str>, faults: &mut Vec<Fault>) {
-    let mut seen = Seen::new(faults);
+fn check_ids_of_list<'a>(list: &str, ids: impl Iterator<Item = &'a str>, faults: &mut Vec<Fault>) {
+    let mut unique = UniqueValues::new(faults);
     for (index, id) in ids.enumerate() {
-        seen.meet(id, format!("{list}[{index}].id"), found_text(id));
+        unique.insert(id, format!("{list}[{index}].id"), describe_text(id));
     }
 }
 
 fn check_tier_ranks(document: &Document, faults: &mut Vec<Fault>) {
-    let mut seen = Seen::new(faults);
+    let mut unique = UniqueValues::new(faults);
     for (index, tier) in document.tiers.iter().enumerate() {
-        seen.meet(tier.rank, format!("tiers[{index}].rank"), tier.rank.to_string());
+        unique.insert(tier.rank, format!("tiers[{index}].rank"), tier.rank.to_string());
     }
 }
 
 fn check_key_hashes(document: &Document, faults: &mut Vec<Fault>) {
-    let mut seen = Seen::new(faults);
+    let mut unique = UniqueValues::new(faults);
     for (index, team) in document.teams.iter().enumerate() {
         for (position, hash) in team.key_hashes.iter().enumerate() {
-            seen.meet(hash, format!("teams[{index}].key_hashes[{position}]"), short(hash));
+            unique.insert(
+                hash,
+                format!("teams[{index}].key_hashes[{position}]"),
+                describe_hash(hash),
+            );
         }
     }
 }
 
-fn short(hash: &KeyHash) -> String {
+fn describe_hash(hash: &KeyHash) -> String {
     format!("{}…", hash.short())
 }
 
-/// A model belongs to the groups of one route: the others would never get its requests.
+/// Requires that a model is served by the groups of one route only, because no other route would
+/// receive its requests.
+///
+/// The groups of one route share their models. Of these groups only the first is compared with
+/// other routes' groups; the later ones are checked for repeats within their own list.
 fn check_models(document: &Document, faults: &mut Vec<Fault>) {
-    let mut seen = Seen::new(faults);
+    let mut unique = UniqueValues::new(faults);
     for (index, group) in document.model_groups.iter().enumerate() {
-        let mut own = IndexSet::new();
+        let mut models_of_group = IndexSet::new();
         for (position, model) in group.models.iter().enumerate() {
-            let is_repeated = !own.insert(model.as_str());
-            if is_repeated || !follows_another(document, group) {
+            let is_repeated = !models_of_group.insert(model.as_str());
+            if is_repeated || !is_later_group_of_route(document, group) {
                 let path = format!("model_groups[{index}].models[{position}]");
-                seen.meet(model.as_str(), path, found_text(model));
+                unique.insert(model.as_str(), path, describe_text(model));
             }
         }
     }
 }
 
-/// Whether a route names the group after another one, whose models it then shares.
-fn follows_another(document: &Document, group: &ModelGroup) -> bool {
+/// Returns whether a route lists the group after another one, with which it shares its models.
+fn is_later_group_of_route(document: &Document, group: &ModelGroup) -> bool {
     document.routes.iter().any(|route| match &route.target {
         Target::Model { groups } => groups.iter().skip(1).any(|id| *id == group.id),
         Target::Service { .. } => false,
     })
 }
 
-/// A backend server holds ranks of one group at most, and each only once; a route names a backend
-/// server once.
-fn check_members(document: &Document, faults: &mut Vec<Fault>) {
-    let mut seen = Seen::new(faults);
+/// Requires that a backend server is listed once over all model groups, and once within a route.
+fn check_backend_servers(document: &Document, faults: &mut Vec<Fault>) {
+    let mut unique = UniqueValues::new(faults);
     for (index, group) in document.model_groups.iter().enumerate() {
         for (position, id) in group.backend_servers.iter().enumerate() {
             let path = format!("model_groups[{index}].backend_servers[{position}]");
-            seen.meet(id.as_str(), path, found_text(id.as_str()));
+            unique.insert(id.as_str(), path, describe_text(id.as_str()));
         }
     }
     for (index, route) in document.routes.iter().enumerate() {
         let Target::Service { backend_servers, .. } = &route.target else { continue };
-        let mut seen = Seen::new(faults);
+        let mut unique = UniqueValues::new(faults);
         for (position, id) in backend_servers.iter().enumerate() {
             let path = format!("routes[{index}].target.service.backend_servers[{position}]");
-            seen.meet(id.as_str(), path, found_text(id.as_str()));
+            unique.insert(id.as_str(), path, describe_text(id.as_str()));
         }
     }
 }
 
 fn check_path_prefixes(document: &Document, faults: &mut Vec<Fault>) {
-    let mut seen = Seen::new(faults);
+    let mut unique = UniqueValues::new(faults);
     for (index, route) in document.routes.iter().enumerate() {
         let Target::Service { path_prefix, .. } = &route.target else { continue };
         let path = format!("routes[{index}].target.service.path_prefix");
-        seen.meet(path_prefix.as_str(), path, found_text(path_prefix));
+        unique.insert(path_prefix.as_str(), path, describe_text(path_prefix));
     }
 }
 
-/// A request names its model, and the model its group: two routes to one group could not be told
-/// apart.
+/// Requires that a group is listed by one route only. A request carries a model name, which selects
+/// the group, so two routes to the same group could not be distinguished.
 fn check_group_routes(document: &Document, faults: &mut Vec<Fault>) {
-    let mut seen = Seen::new(faults);
+    let mut unique = UniqueValues::new(faults);
     for (index, route) in document.routes.iter().enumerate() {
         let Target::Model { groups } = &route.target else { continue };
         for (position, group) in groups.iter().enumerate() {
             let path = format!("routes[{index}].target.model.groups[{position}]");
-            seen.meet(group.as_str(), path, found_text(group.as_str()));
+            unique.insert(group.as_str(), path, describe_text(group.as_str()));
         }
     }
 }
--- a/crates/config/src/validate/floors.rs
+++ b/crates/config/src/validate/floors.rs
@@ -1,11 +1,11 @@
-//! Floors of the tiers together.
+//! The rule for the sum of the tiers' floors.
 
 use super::Rule;
 use crate::document::Document;
 use crate::fault::Fault;
 use crate::limits::FULL_PERMILLE;
 
-/// All floors together leave something to share by rank.
+/// Requires that the floors of all tiers leave a share of the starts to be assigned by rank.
 pub(crate) struct Floors;
 
 impl Rule for Floors {
--- a/crates/config/src/validate/groups.rs
+++ b/crates/config/src/validate/groups.rs
@@ -1,11 +1,12 @@
-//! Sizes of a model group.
+//! The rule for the size of a model group.
 
 use super::Rule;
 use crate::document::{Document, ModelGroup};
 use crate::fault::Fault;
 use crate::limits::MAX_RANKS_PER_GROUP;
 
-/// A group's ranks are not too many, and hold every expert of a layer.
+/// Requires that a group has at most [`MAX_RANKS_PER_GROUP`] ranks, and enough expert slots for
+/// every expert of a layer.
 pub(crate) struct Groups;
 
 impl Rule for Groups {
--- a/crates/config/src/validate/mod.rs
+++ b/crates/config/src/validate/mod.rs
@@ -1,24 +1,27 @@
-//! Checks that a document's fields are allowed and that its parts fit together.
+//! Validation of documents.
+//!
+//! [`check_fields`] checks each field on its own against the JSON schema; each [`Rule`] checks a
+//! constraint between several fields.
 
-mod allowed;
+mod describe_schema;
+mod describe_value;
 mod duplicates;
 mod fields;
 mod floors;
-mod found;
 mod groups;
 mod references;
 mod routes;
 
 use crate::document::{Document, SCHEMA_VERSION};
 use crate::fault::Fault;
-use crate::parse::newer;
-use crate::path::Path;
+use crate::json_path::JsonPath;
+use crate::parse::newer_version_fault;
 
 pub(crate) use fields::check_fields;
 
-/// A rule between several fields of a document.
+/// A constraint between several fields of a document.
 pub(crate) trait Rule: Sync {
-    /// Adds a fault for each place where the document breaks the rule.
+    /// Adds a fault for each violation of the rule.
     fn check(&self, document: &Document, faults: &mut Vec<Fault>);
 }
 
@@ -30,24 +33,25 @@
     &routes::Routes,
 ];
 
-/// Finds every fault of a document; an empty list means that it may be published.
+/// Returns every fault of a document; it may be published if the list is empty.
 ///
-/// A document of a newer schema version has that one fault: this release cannot judge its fields.
+/// For a document of a newer schema version only the version is reported, because this release does
+/// not know its fields.
 #[must_use]
 pub fn validate(document: &Document) -> Vec<Fault> {
     if document.schema_version > SCHEMA_VERSION {
-        return vec![newer(document.schema_version.into())];
+        return vec![newer_version_fault(document.schema_version.into())];
     }
     let mut faults = Vec::new();
     match serde_json::to_value(document) {
         Ok(value) => check_fields(&value, &mut faults),
-        Err(error) => faults.push(Fault::new(&Path::Root, "not JSON", error.to_string())),
+        Err(error) => faults.push(Fault::new(&JsonPath::Root, "not JSON", error.to_string())),
     }
     check_rules(document, &mut faults);
     faults
 }
 
-/// Adds the faults between fields.
+/// Adds the faults of all rules between fields.
 pub(crate) fn check_rules(document: &Document, faults: &mut Vec<Fault>) {
     for rule in RULES {
         rule.check(document, faults);
--- a/crates/config/src/validate/references.rs
+++ b/crates/config/src/validate/references.rs
@@ -1,21 +1,21 @@
-//! What must exist: the entities that others name.
+//! The rule that references between entities have an existing target.
 
 use super::Rule;
-use super::found::found_text;
+use super::describe_value::describe_text;
 use crate::document::{BackendKind, BackendServer, Document, Target};
 use crate::fault::Fault;
 use crate::ids::BackendServerId;
 use indexmap::{IndexMap, IndexSet};
 
-/// Every name that refers to an entity finds one of the right kind.
+/// Requires that every id that refers to an entity belongs to one of the right kind.
 pub(crate) struct References;
 
 impl Rule for References {
     fn check(&self, document: &Document, faults: &mut Vec<Fault>) {
         check_tiers(document, faults);
         check_failure_domains(document, faults);
-        check_members(document, faults);
-        check_targets(document, faults);
+        check_groups(document, faults);
+        check_routes(document, faults);
     }
 }
 
@@ -23,7 +23,7 @@
     let tiers: IndexSet<&str> = document.tiers.iter().map(|tier| tier.id.as_str()).collect();
     for (index, team) in document.teams.iter().enumerate() {
         let path = format!("teams[{index}].tier");
-        check_known(&tiers, team.tier.as_str(), path, "an id of tiers", faults);
+        check_reference(&tiers, team.tier.as_str(), path, "an id of tiers", faults);
     }
 }
 
@@ -33,11 +33,11 @@
     for (index, server) in document.backend_servers.iter().enumerate() {
         let path = format!("backend_servers[{index}].failure_domain");
         let id = server.failure_domain.as_str();
-        check_known(&domains, id, path, "an id of failure_domains", faults);
+        check_reference(&domains, id, path, "an id of failure_domains", faults);
     }
 }
 
-fn check_known(
+fn check_reference(
     known: &IndexSet<&str>,
     id: &str,
     path: String,
@@ -45,11 +45,11 @@
     faults: &mut Vec<Fault>,
 ) {
     if !known.contains(id) {
-        faults.push(Fault::new(&path, found_text(id), allowed));
+        faults.push(Fault::new(&path, describe_text(id), allowed));
     }
 }
 
-fn check_members(document: &Document, faults: &mut Vec<Fault>) {
+fn check_groups(document: &Document, faults: &mut Vec<Fault>) {
     let servers = servers_by_id(document);
     for (index, group) in document.model_groups.iter().enumerate() {
         let path = format!("model_groups[{index}].backend_servers");
@@ -57,7 +57,7 @@
     }
 }
 
-fn check_targets(document: &Document, faults: &mut Vec<Fault>) {
+fn check_routes(document: &Document, faults: &mut Vec<Fault>) {
     let servers = servers_by_id(document);
     let ids = document.model_groups.iter().map(|group| group.id.as_str());
     let groups: IndexSet<&str> = ids.collect();
@@ -66,7 +66,7 @@
             Target::Model { groups: named } => {
                 for (position, group) in named.iter().enumerate() {
                     let path = format!("routes[{index}].target.model.groups[{position}]");
-                    check_known(&groups, group.as_str(), path, "an id of model_groups", faults);
+                    check_reference(&groups, group.as_str(), path, "an id of model_groups", faults);
                 }
             }
             Target::Service { backend_servers, .. } => {
@@ -96,7 +96,7 @@
         let server = servers.get(id.as_str());
         if server.is_none_or(|server| server.kind != kind) {
             let path = format!("{list}[{position}]");
-            faults.push(Fault::new(&path, found_text(id.as_str()), allowed));
+            faults.push(Fault::new(&path, describe_text(id.as_str()), allowed));
         }
     }
 }
--- a/crates/config/src/validate/routes.rs
+++ b/crates/config/src/validate/routes.rs
@@ -1,15 +1,16 @@
-//! Deadlines, paths and groups of a route.
+//! The rule for the deadlines, path prefix and model groups of a route.
 
 use super::Rule;
-use super::found::found_text;
+use super::describe_value::describe_text;
 use crate::document::{Document, Route, Target};
 use crate::fault::Fault;
 use crate::ids::ModelGroupId;
 
-/// Prefix of the model API's paths.
+/// Path prefix of the model API.
 const MODEL_API_PREFIX: &str = "/v1/";
 
-/// A route's deadlines are in order, and its path is not one of the model API.
+/// Requires that a route's default deadline is not above its maximum, that its path prefix is
+/// outside the model API, and that all its groups serve the same models.
 pub(crate) struct Routes;
 
 impl Rule for Routes {
@@ -30,7 +31,8 @@
     }
 }
 
-/// A request for a model may go to any group of its route.
+/// Requires that all groups of a route serve the same models, because a request for a model may be
+/// sent to any of them.
 fn check_same_models(document: &Document, index: usize, route: &Route, faults: &mut Vec<Fault>) {
     let Target::Model { groups } = &route.target else { return };
     let models = |id: &ModelGroupId| {
@@ -45,7 +47,7 @@
         if models(group).is_some_and(|models| models != expected) {
             let path = format!("routes[{index}].target.model.groups[{position}]");
             let allowed = format!("a group with the same models as {first}");
-            faults.push(Fault::new(&path, found_text(group.as_str()), allowed));
+            faults.push(Fault::new(&path, describe_text(group.as_str()), allowed));
         }
     }
 }
@@ -55,6 +57,6 @@
     if path_prefix.starts_with(MODEL_API_PREFIX) {
         let path = format!("routes[{index}].target.service.path_prefix");
         let allowed = format!("a path outside {MODEL_API_PREFIX}, which is the model API's");
-        faults.push(Fault::new(&path, found_text(path_prefix), allowed));
+        faults.push(Fault::new(&path, describe_text(path_prefix), allowed));
     }
 }
--- a/crates/config/src/warning.rs
+++ b/crates/config/src/warning.rs
@@ -1,4 +1,4 @@
-//! What a change would do to running work, for an operator to confirm.
+//! Warnings about the effect of a change on callers and running work, for an operator to confirm.
 
 use crate::diff::Entity;
 use crate::document::{Document, ModelGroup, Route, Target, Team};
@@ -11,9 +11,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LimitField {
-    /// Accepted requests a second.
+    /// The rate of accepted requests, in requests per second.
     RequestsPerS,
-    /// Requests that may follow one another at once.
+    /// The number of requests that may arrive at once before the rate applies.
     BurstRequests,
 }
 
@@ -26,41 +26,42 @@
     }
 }
 
-/// One consequence of a change that takes something from callers or from running work.
+/// One effect of a change that takes capacity or access from callers or stops running work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Warning {
-    /// A failure domain is gone.
+    /// A failure domain was removed.
     FailureDomainRemoved {
         /// The failure domain.
         failure_domain: FailureDomainId,
-        /// Backend servers that stood in it.
+        /// Number of backend servers in it before the change.
         backend_servers: usize,
     },
-    /// A team is gone: its callers are refused.
+    /// A team was removed; its callers are refused.
     TeamRemoved {
         /// The team.
         team: TeamId,
     },
-    /// An API key is gone: callers that still use it are refused.
+    /// An API key was removed; callers that still use it are refused.
     KeyRemoved {
         /// The team.
         team: TeamId,
         /// First 8 digits of the key's hash.
         key_hash: String,
     },
-    /// A team may send less.
+    /// A limit of a team was lowered.
     LimitLowered {
         /// The team.
         team: TeamId,
-        /// Which of its limits.
+        /// The limit that was lowered.
         limit: LimitField,
         /// The limit before.
         old: u32,
         /// The limit after.
         new: u32,
     },
-    /// A team is answered later under strain, by another tier or by another rank of its tier.
+    /// A team's tier now has a lower priority (a higher rank number), so its requests wait longer
+    /// under load. The team has moved to another tier, or the rank of its tier has changed.
     TeamDemoted {
         /// The team.
         team: TeamId,
@@ -73,14 +74,14 @@
         /// The tier's rank after.
         new_rank: u8,
     },
-    /// A backend server that a group or a route used is gone.
+    /// A backend server that a group or a route used was removed.
     BackendServerRemoved {
         /// The backend server.
         backend_server: BackendServerId,
         /// The groups and routes that used it.
         used_by: Vec<Entity>,
     },
-    /// A model group is gone: requests for its models are refused.
+    /// A model group was removed; requests for its models are refused.
     GroupRemoved {
         /// The group.
         group: ModelGroupId,
@@ -94,17 +95,18 @@
         /// Ranks after.
         new: u64,
     },
-    /// No backend server of a group stays: it makes no step until the new ones have loaded.
+    /// All backend servers of a model group were replaced; it runs no steps until the new ones have
+    /// loaded the weights.
     GroupWithoutRunner {
         /// The group.
         group: ModelGroupId,
     },
-    /// A route is gone: requests for it are refused.
+    /// A route was removed; requests for it are refused.
     RouteRemoved {
         /// The route.
         route: RouteId,
     },
-    /// Requests that ran at most once may now run more than once.
+    /// A route became idempotent: its requests ran at most once and may now run more than once.
     BecomesIdempotent {
         /// The route.
         route: RouteId,
@@ -160,7 +162,7 @@
     }
 }
 
-/// Lists what publishing `new` in place of `old` would take from callers or from running work.
+/// Returns the warnings about publishing `new` in place of `old`.
 #[must_use]
 pub fn warnings(old: &Document, new: &Document) -> Vec<Warning> {
     let mut warnings = Vec::new();
@@ -176,8 +178,9 @@
     let kept: IndexSet<&FailureDomainId> =
         new.failure_domains.iter().map(|domain| &domain.id).collect();
     for domain in old.failure_domains.iter().filter(|domain| !kept.contains(&domain.id)) {
-        let inside = |failure_domain: &FailureDomainId| *failure_domain == domain.id;
-        let servers = old.backend_servers.iter().filter(|server| inside(&server.failure_domain));
+        let is_in_domain = |failure_domain: &FailureDomainId| *failure_domain == domain.id;
+        let servers =
+            old.backend_servers.iter().filter(|server| is_in_domain(&server.failure_domain));
         let failure_domain = domain.id.clone();
         let backend_servers = servers.count();
         warnings.push(Warning::FailureDomainRemoved { failure_domain, backend_servers });
@@ -193,7 +196,7 @@
         };
         warn_of_keys(team, new_team, warnings);
         warn_of_limits(team, new_team, warnings);
-        warnings.extend(demotion(old, team, new, new_team));
+        warnings.extend(demotion_warning(old, team, new, new_team));
     }
 }
 
@@ -216,7 +219,12 @@
     }
 }
 
-fn demotion(old: &Document, team: &Team, new: &Document, new_team: &Team) -> Option<Warning> {
+fn demotion_warning(
+    old: &Document,
+    team: &Team,
+    new: &Document,
+    new_team: &Team,
+) -> Option<Warning> {
     let old_rank = old.tier(team.tier.as_str())?.rank;
     let new_rank = new.tier(new_team.tier.as_str())?.rank;
     (new_rank > old_rank).then(|| Warning::TeamDemoted {
@@ -244,12 +252,12 @@
     let groups = document.model_groups.iter();
     let groups = groups.filter(|group| group.backend_servers.contains(server));
     let groups = groups.map(|group| Entity::ModelGroup(group.id.clone()));
-    let routes = document.routes.iter().filter(|route| leads_to(route, server));
+    let routes = document.routes.iter().filter(|route| names_backend_server(route, server));
     groups.chain(routes.map(|route| Entity::Route(route.id.clone()))).collect()
 }
 
-/// Whether a route names a backend server itself, rather than through a group.
-fn leads_to(route: &Route, server: &BackendServerId) -> bool {
+/// Returns whether a route lists a backend server directly, not through a model group.
+fn names_backend_server(route: &Route, server: &BackendServerId) -> bool {
     match &route.target {
         Target::Service { backend_servers, .. } => backend_servers.contains(server),
         Target::Model { .. } => false,
@@ -259,13 +267,13 @@
 fn warn_of_groups(old: &Document, new: &Document, warnings: &mut Vec<Warning>) {
     for group in &old.model_groups {
         match new.group(group.id.as_str()) {
-            Some(new_group) => warn_of_runners(group, new_group, warnings),
+            Some(new_group) => warn_of_group_servers(group, new_group, warnings),
             None => warnings.push(Warning::GroupRemoved { group: group.id.clone() }),
         }
     }
 }
 
-fn warn_of_runners(old: &ModelGroup, new: &ModelGroup, warnings: &mut Vec<Warning>) {
+fn warn_of_group_servers(old: &ModelGroup, new: &ModelGroup, warnings: &mut Vec<Warning>) {
     if new.ranks() < old.ranks() {
         let group = old.id.clone();
         warnings.push(Warning::RanksLowered { group, old: old.ranks(), new: new.ranks() });
