--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -1,12 +1,13 @@
-//! What a change is reported as, and what operators are warned of.
+//! Tests the texts of the changes and warnings that operators see for a modified document.
 
 mod common;
 
-use common::changed;
+use common::modified_example;
 use googletest::prelude::*;
 use hickorycross_config::{Document, diff, parse, warnings};
 use serde_json::{Value, json};
 
+/// A modification of the example document, with the exact lines that it must produce.
 struct Case {
     name: &'static str,
     change: fn(&mut Value),
@@ -14,8 +15,8 @@
     warnings: &'static [&'static str],
 }
 
-fn document(change: fn(&mut Value)) -> Document {
-    parse(&changed(change)).expect("the change keeps the document valid")
+fn parse_modified(change: fn(&mut Value)) -> Document {
+    parse(&modified_example(change)).expect("the change keeps the document valid")
 }
 
 fn lines<T: ToString>(items: &[T]) -> Vec<String> {
@@ -54,7 +55,7 @@
         warnings: &["team clerks-krakow: demoted from tier urgent, rank 0, to tier basic, rank 2"] },
     Case { name: "teams in another order", change: |d| d["teams"].as_array_mut().unwrap().swap(0, 1),
         changes: &["document: teams reordered"], warnings: &[] },
-    Case { name: "weights of the balance", change: |d| d["balance"]["skew_weight"] = json!(2.5),
+    Case { name: "a balance weight", change: |d| d["balance"]["skew_weight"] = json!(2.5),
         changes: &["balance: skew_weight 1.0 -> 2.5"], warnings: &[] },
     Case { name: "a default made explicit", change: |d| d["tiers"][0] = json!({"id": "urgent", "rank": 0, "first_chunk_target_ms": 800}),
         changes: &[], warnings: &[] },
@@ -68,7 +69,7 @@
             "backend server runner-rzeszow-3: failure_domain rzeszow -> tarnow", "backend server runner-rzeszow-4: failure_domain rzeszow -> tarnow",
             "backend server case-service-rzeszow: failure_domain rzeszow -> tarnow"],
         warnings: &["failure domain rzeszow: removed, 5 backend servers stood in it"] },
-    Case { name: "a runner removed",
+    Case { name: "an engine removed from a group",
         change: |d| { remove(&mut d["backend_servers"], 8); remove(&mut d["model_groups"][2]["backend_servers"], 0); },
         changes: &["backend server runner-rzeszow-1: removed", "model group case-status: backend_servers removed runner-rzeszow-1"],
         warnings: &["backend server runner-rzeszow-1: removed, in use by model group case-status",
@@ -82,7 +83,7 @@
             "route cases: target.service.backend_servers removed case-service-rzeszow",
             "route lodgings: target.service.backend_servers removed case-service-rzeszow"],
         warnings: &["backend server case-service-rzeszow: removed, in use by route cases, route lodgings"] },
-    Case { name: "every runner of a group renamed",
+    Case { name: "every engine of a group renamed",
         change: |d| for index in 0..4 {
             let id = json!(format!("spare-{index}"));
             d["backend_servers"][8 + index]["id"] = id.clone();
@@ -112,7 +113,7 @@
         warnings: &["route lodgings: becomes idempotent, its requests may run more than once"] },
     Case { name: "a route becomes non-idempotent", change: |d| d["routes"][3]["idempotent"] = json!(false),
         changes: &["route cases: idempotent true -> false"], warnings: &[] },
-    Case { name: "a route leads elsewhere",
+    Case { name: "a route with another target",
         change: |d| d["routes"][2]["target"] = json!({"service": {"path_prefix": "/status/", "backend_servers": ["case-service-krakow"]}}),
         changes: &["route case-status: target.model.groups [\"case-status\"] -> nothing",
             "route case-status: target.service.backend_servers nothing -> [\"case-service-krakow\"]",
@@ -121,22 +122,21 @@
 ];
 
 #[gtest]
-fn changes_and_warnings_read_as_operators_speak() {
-    let old = document(|_| {});
+fn each_modification_gives_the_exact_changes_and_warnings() {
+    let old = parse_modified(|_| {});
     for case in CASES {
-        let new = document(case.change);
+        let new = parse_modified(case.change);
         expect_that!(lines(&diff(&old, &new)), eq(case.changes), "{}", case.name);
         expect_that!(lines(&warnings(&old, &new)), eq(case.warnings), "{}", case.name);
     }
 }
 
 #[gtest]
-fn no_change_shows_a_whole_key_hash() {
-    // Symptom: the audit trail holds hashes against which leaked keys can be tested.
-    // Sequence: a key is replaced; the change is printed and serialised.
-    // Cause: a change that carries the list's items as they are.
-    let old = document(|_| {});
-    let new = document(|d| d["teams"][0]["key_hashes"][0] = json!("ab".repeat(32)));
+fn changes_never_contain_a_whole_key_hash() {
+    // Changes are written to the audit trail. If they contained the list items unshortened, the
+    // trail would hold hashes against which leaked keys could be tested.
+    let old = parse_modified(|_| {});
+    let new = parse_modified(|d| d["teams"][0]["key_hashes"][0] = json!("ab".repeat(32)));
     let changes = diff(&old, &new);
     let text = format!("{changes:?} {}", serde_json::to_string(&changes).expect("serialisable"));
     expect_that!(text, not(contains_substring("ababababa")));
--- a/crates/config/tests/documents.rs
+++ b/crates/config/tests/documents.rs
@@ -1,13 +1,14 @@
-//! Committed documents and the schema are in step with the types.
+//! Tests that the example documents, the committed schema and the reference page match the types.
 
 mod common;
 
-use common::read;
+use common::read_workspace_file;
 use googletest::prelude::*;
 use hickorycross_config::{Document, hash_api_key, parse, schema};
 use serde_json::Value;
 use std::time::Instant;
 
+/// An example document with the properties that it must have.
 struct Example {
     path: &'static str,
     title: &'static str,
@@ -30,14 +31,14 @@
     },
 ];
 
-fn example(path: &str) -> Document {
-    parse(read(path).as_bytes()).expect("the example is valid")
+fn parse_example(path: &str) -> Document {
+    parse(read_workspace_file(path).as_bytes()).expect("the example is valid")
 }
 
 #[gtest]
 fn examples_are_valid() {
     for case in EXAMPLES {
-        let document = example(case.path);
+        let document = parse_example(case.path);
         let engines: usize = document.model_groups.iter().map(|g| g.backend_servers.len()).sum();
         let services = document.backend_servers.len() - engines;
         expect_that!(document.title, eq(case.title));
@@ -54,9 +55,9 @@
 }
 
 #[gtest]
-fn keys_of_the_examples_are_as_documented() {
+fn key_hashes_of_the_examples_match_the_documented_keys() {
     for case in EXAMPLES {
-        for team in &example(case.path).teams {
+        for team in &parse_example(case.path).teams {
             let hash = hash_api_key(&format!("example-key-{}", team.id));
             expect_that!(team.key_hashes, eq(&vec![hash]), "{}", team.id);
         }
@@ -64,38 +65,42 @@
 }
 
 #[gtest]
-fn canonical_json_is_stable() {
+fn canonical_json_is_stable_and_used_by_the_examples() {
     for case in EXAMPLES {
-        let document = example(case.path);
+        let document = parse_example(case.path);
         let text = document.canonical_json();
         let again = parse(text.as_bytes()).expect("canonical JSON is valid");
         expect_that!(again, eq(&document));
         expect_that!(again.canonical_json(), eq(&text));
-        expect_that!(text, eq(&read(case.path)), "{} is in canonical form", case.path);
+        expect_that!(
+            text,
+            eq(&read_workspace_file(case.path)),
+            "{} is in canonical form",
+            case.path
+        );
     }
 }
 
 #[gtest]
 fn committed_schema_is_up_to_date() {
-    // Symptom: forms built from the schema offer a field that validation refuses.
-    // Sequence: a type changes; the committed schema stays behind.
-    // Cause: the file was not written again: `cargo run -p hickorycross-config --example
-    // write_schema > docs/document.schema.json`.
-    let committed: Value = serde_json::from_str(&read("docs/document.schema.json"))
+    // Forms built from an outdated schema offer fields that validation rejects. After a change to
+    // the types, write the file again: `cargo run -p hickorycross-config --example write_schema >
+    // docs/document.schema.json`.
+    let committed: Value = serde_json::from_str(&read_workspace_file("docs/document.schema.json"))
         .expect("the committed schema is JSON");
     expect_that!(committed == schema(), eq(true));
 }
 
 #[gtest]
 fn every_field_is_bounded() {
-    // Symptom: a slip of the hand, such as three zeros too many, reaches the fleet.
-    // Sequence: a field is added to a type; nobody gives it a range.
-    // Cause: the types alone allow all that their width holds.
+    // A field without a range accepts every value of its type, so a typing error, such as three
+    // zeros too many, would reach the fleet. Guards against fields added without a bound.
     let mut unbounded = Vec::new();
     collect_unbounded(&schema(), "$", &mut unbounded);
     expect_that!(unbounded, is_empty());
 }
 
+/// Adds the path of each field in the schema that has no bound.
 fn collect_unbounded(schema: &Value, path: &str, unbounded: &mut Vec<String>) {
     let has = |keyword: &str| schema.get(keyword).is_some();
     let bounded = match schema.get("type").and_then(Value::as_str) {
@@ -115,11 +120,10 @@
 }
 
 #[gtest]
-fn the_reference_names_every_field() {
-    // Symptom: an operator meets a field that the reference does not explain.
-    // Sequence: a field is added to a type, and so to the schema, but not to the page.
-    // Cause: the page is written by hand.
-    let page = read("docs/DOCUMENT.md");
+fn the_reference_page_names_every_field() {
+    // The page is written by hand, so a field added to a type is missing there until someone
+    // documents it.
+    let page = read_workspace_file("docs/DOCUMENT.md");
     let mut fields = Vec::new();
     collect_fields(&schema(), &mut fields);
     for field in fields {
@@ -127,6 +131,7 @@
     }
 }
 
+/// Adds the name of every property in the schema.
 fn collect_fields(schema: &Value, fields: &mut Vec<String>) {
     if let Some(properties) = schema.get("properties").and_then(Value::as_object) {
         fields.extend(properties.keys().cloned());
@@ -140,10 +145,9 @@
 
 #[gtest]
 fn a_document_of_the_planned_size_fits_and_parses() {
-    // Symptom: the fleet grows to its plan and its document no longer fits the platform's value.
-    // Sequence: 900 backend servers, 260 teams and 29 groups are written into one document.
-    // Cause: bounds that were chosen for the fleets of today.
-    let document = planned_size();
+    // The planned fleet has 900 backend servers, 260 teams and 29 groups. Bounds chosen for smaller
+    // fleets would reject its document, or it would exceed the platform's size limit for a value.
+    let document = planned_size_document();
     let text = document.canonical_json();
     let start = Instant::now();
     let parsed = parse(text.as_bytes());
@@ -151,9 +155,10 @@
     expect_that!(parsed, ok(eq(&document)));
 }
 
-/// 260 teams and 900 backend servers: 29 groups of 31 engines, and one service.
-fn planned_size() -> Document {
-    let mut document = example("examples/wodoprzylacze.json");
+/// Returns a document with 260 teams and 900 backend servers: 29 groups of 31 engines, and one
+/// service.
+fn planned_size_document() -> Document {
+    let mut document = parse_example("examples/wodoprzylacze.json");
     let (engine, service) =
         (document.backend_servers[0].clone(), document.backend_servers[12].clone());
     let (group, route) = (document.model_groups[0].clone(), document.routes[0].clone());
@@ -195,7 +200,7 @@
 
 #[gtest]
 fn a_model_may_be_served_by_groups_of_several_failure_domains() {
-    let mut document = example("examples/wodoprzylacze.json");
+    let mut document = parse_example("examples/wodoprzylacze.json");
     document.routes.retain(|route| route.id.as_str() != "drafting");
     document.model_groups[1].models = document.model_groups[0].models.clone();
     let groups = vec![document.model_groups[0].id.clone(), document.model_groups[1].id.clone()];
--- a/crates/config/tests/random.rs
+++ b/crates/config/tests/random.rs
@@ -1,20 +1,21 @@
-//! Randomised changes of one value: whatever stands there, parsing keeps its promises.
+//! Property tests: one value of the example document is replaced by a random one, and the result
+//! must be accepted consistently or rejected with readable faults.
 
 mod common;
 
-use common::changed;
+use common::modified_example;
 use hickorycross_config::{Document, diff, parse, validate, warnings};
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
-/// Longest line that a fault may fill, in characters.
+/// Longest permitted text of one fault, in characters.
 const MAX_FAULT_CHARS: usize = 400;
 
-fn example() -> Value {
-    serde_json::from_slice(&changed(|_| {})).expect("the example is JSON")
+fn example_json() -> Value {
+    serde_json::from_slice(&modified_example(|_| {})).expect("the example is JSON")
 }
 
-/// JSON pointers to every value of a document.
+/// Collects the JSON pointers to every value of a document.
 fn pointers(value: &Value, pointer: &str, all: &mut Vec<String>) {
     all.push(pointer.to_owned());
     match value {
@@ -31,7 +32,7 @@
 
 fn any_pointer() -> impl Strategy<Value = String> {
     let mut all = Vec::new();
-    pointers(&example(), "", &mut all);
+    pointers(&example_json(), "", &mut all);
     proptest::sample::select(all)
 }
 
@@ -49,8 +50,9 @@
     ]
 }
 
+/// Checks that validation, serialisation and [`diff`] agree with parsing on an accepted document.
 fn check_accepted(document: &Document) -> Result<(), TestCaseError> {
-    let old = parse(&changed(|_| {})).expect("the example is valid");
+    let old = parse(&modified_example(|_| {})).expect("the example is valid");
     prop_assert_eq!(validate(document), vec![]);
     let again = parse(document.canonical_json().as_bytes());
     prop_assert_eq!(again.as_ref(), Ok(document));
@@ -64,12 +66,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..Default::default() })]
 
-    // Symptom: a slip in a form stops a process, or is accepted by one and refused by another.
-    // Sequence: any one value of a good document becomes any other.
-    // Cause: a check that panics, or one that only parsing or only validation knows.
+    // Guards against checks that panic, which would stop a process, and against checks that only
+    // parsing or only validation makes, so that a document is accepted in one place and rejected in
+    // another.
     #[test]
-    fn one_changed_value_is_judged(pointer in any_pointer(), value in any_value()) {
-        let mut document = example();
+    fn one_random_value_is_handled_consistently(pointer in any_pointer(), value in any_value()) {
+        let mut document = example_json();
         *document.pointer_mut(&pointer).expect("a pointer of the example") = value;
         match parse(document.to_string().as_bytes()) {
             Ok(document) => check_accepted(&document)?,
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/refusals.rs
@@ -1,12 +1,13 @@
-//! Documents that are refused, each with the exact path, value and wording.
+//! Tests that invalid documents are rejected, with the exact path, value and text of each fault.
 
 mod common;
 
-use common::changed;
+use common::modified_example;
 use googletest::prelude::*;
 use hickorycross_config::{Document, Fault, parse, validate};
 use serde_json::{Value, json};
 
+/// A modification that makes the example invalid, with the one fault that it must produce.
 struct Case {
     name: &'static str,
     change: fn(&mut Value),
@@ -16,7 +17,7 @@
 }
 
 impl Case {
-    fn fault(&self) -> Fault {
+    fn expected_fault(&self) -> Fault {
         Fault {
             path: self.path.to_owned(),
             value: self.found.to_owned(),
@@ -48,13 +49,14 @@
 const ENGINE: &str = "an id of backend_servers of kind engine";
 const SERVICE: &str = "an id of backend_servers of kind service";
 
+/// Faults of presence, type and unknown fields.
 #[rustfmt::skip]
 const STRUCTURE: &[Case] = &[
     Case { name: "a missing field", change: |d| remove(&mut d["teams"][2], "tier"),
         path: "teams[2].tier", found: "nothing", allowed: ID },
     Case { name: "a missing section", change: |d| remove(d, "balance"),
         path: "balance", found: "nothing", allowed: "an object" },
-    Case { name: "a missing number deep inside", change: |d| remove(&mut d["teams"][2]["limit"], "burst_requests"),
+    Case { name: "a missing nested number", change: |d| remove(&mut d["teams"][2]["limit"], "burst_requests"),
         path: "teams[2].limit.burst_requests", found: "nothing", allowed: "an integer from 1 to 1000000" },
     Case { name: "an unknown field", change: |d| d["balance"]["skew"] = json!(1),
         path: "balance.skew", found: "an unknown field with a number",
@@ -93,6 +95,7 @@
         path: "schema_version", found: "2", allowed: "1 to 1; a newer release wrote this document" },
 ];
 
+/// Faults of range, length and syntax.
 #[rustfmt::skip]
 const RANGES: &[Case] = &[
     Case { name: "schema zero", change: |d| d["schema_version"] = json!(0),
@@ -130,26 +133,27 @@
         path: "tiers[0].floor_permille", found: "70000", allowed: "an integer from 0 to 999" },
     Case { name: "no layers", change: |d| d["model_groups"][0]["layers"] = json!(0),
         path: "model_groups[0].layers", found: "0", allowed: "an integer from 1 to 256" },
-    Case { name: "a short horizon", change: |d| d["routes"][4]["key_horizon_ms"] = json!(99),
+    Case { name: "a key horizon below its minimum", change: |d| d["routes"][4]["key_horizon_ms"] = json!(99),
         path: "routes[4].key_horizon_ms", found: "99", allowed: "an integer from 100 to 86400000" },
-    Case { name: "more retries than half", change: |d| d["routes"][4]["retry_budget_permille"] = json!(501),
+    Case { name: "a retry budget above half", change: |d| d["routes"][4]["retry_budget_permille"] = json!(501),
         path: "routes[4].retry_budget_permille", found: "501", allowed: "an integer from 0 to 500" },
     Case { name: "a negative weight", change: |d| d["balance"]["skew_weight"] = json!(-0.5),
         path: "balance.skew_weight", found: "-0.5", allowed: "a number from 0 to 100" },
-    Case { name: "a heavy weight", change: |d| d["balance"]["rebalance_cost_weight"] = json!(100.5),
+    Case { name: "a weight above its maximum", change: |d| d["balance"]["rebalance_cost_weight"] = json!(100.5),
         path: "balance.rebalance_cost_weight", found: "100.5", allowed: "a number from 0 to 100" },
     Case { name: "no weight store", change: |d| d["balance"]["weight_store_bytes_per_s"] = json!(0),
         path: "balance.weight_store_bytes_per_s", found: "0", allowed: "an integer from 1 to 10000000000000" },
-    Case { name: "a path without its end", change: |d| d["routes"][3]["target"]["service"]["path_prefix"] = json!("/cases"),
+    Case { name: "a path without a trailing slash", change: |d| d["routes"][3]["target"]["service"]["path_prefix"] = json!("/cases"),
         path: "routes[3].target.service.path_prefix", found: "\"/cases\"", allowed: PATH },
-    Case { name: "a path without its beginning", change: |d| d["routes"][3]["target"]["service"]["path_prefix"] = json!("cases/"),
+    Case { name: "a path without a leading slash", change: |d| d["routes"][3]["target"]["service"]["path_prefix"] = json!("cases/"),
         path: "routes[3].target.service.path_prefix", found: "\"cases/\"", allowed: PATH },
     Case { name: "the root, which shadows the model API", change: |d| d["routes"][3]["target"]["service"]["path_prefix"] = json!("/"),
         path: "routes[3].target.service.path_prefix", found: "\"/\"", allowed: PATH },
-    Case { name: "a path that climbs", change: |d| d["routes"][3]["target"]["service"]["path_prefix"] = json!("/a/../b/"),
+    Case { name: "a path with a parent segment", change: |d| d["routes"][3]["target"]["service"]["path_prefix"] = json!("/a/../b/"),
         path: "routes[3].target.service.path_prefix", found: "\"/a/../b/\"", allowed: PATH },
 ];
 
+/// Faults between fields.
 #[rustfmt::skip]
 const RULES: &[Case] = &[
     Case { name: "a repeated domain", change: |d| { let domain = d["failure_domains"][0].clone(); d["failure_domains"].as_array_mut().unwrap().push(domain); },
@@ -183,15 +187,15 @@
         path: "teams[2].tier", found: "\"gold\"", allowed: "an id of tiers" },
     Case { name: "no such failure domain", change: |d| d["backend_servers"][2]["failure_domain"] = json!("lublin"),
         path: "backend_servers[2].failure_domain", found: "\"lublin\"", allowed: "an id of failure_domains" },
-    Case { name: "no such runner", change: |d| d["model_groups"][0]["backend_servers"][3] = json!("runner-9"),
+    Case { name: "no such engine", change: |d| d["model_groups"][0]["backend_servers"][3] = json!("runner-9"),
         path: "model_groups[0].backend_servers[3]", found: "\"runner-9\"", allowed: ENGINE },
     Case { name: "a service in a group", change: |d| d["model_groups"][0]["backend_servers"][3] = json!("case-service-krakow"),
         path: "model_groups[0].backend_servers[3]", found: "\"case-service-krakow\"", allowed: ENGINE },
-    Case { name: "a runner as a service", change: |d| d["routes"][4]["target"]["service"]["backend_servers"][0] = json!("runner-krakow-1"),
+    Case { name: "an engine as a service", change: |d| d["routes"][4]["target"]["service"]["backend_servers"][0] = json!("runner-krakow-1"),
         path: "routes[4].target.service.backend_servers[0]", found: "\"runner-krakow-1\"", allowed: SERVICE },
     Case { name: "no such group", change: |d| d["routes"][0]["target"]["model"]["groups"][0] = json!("plans"),
         path: "routes[0].target.model.groups[0]", found: "\"plans\"", allowed: "an id of model_groups" },
-    Case { name: "floors that share out all", change: |d| d["tiers"][0]["floor_permille"] = json!(800),
+    Case { name: "floors that sum to the whole", change: |d| d["tiers"][0]["floor_permille"] = json!(800),
         path: "tiers", found: "a sum of floor_permille of 1000", allowed: "a sum below 1000" },
     Case { name: "too many ranks", change: |d| d["model_groups"][0]["ranks_per_server"] = json!(9),
         path: "model_groups[0].ranks_per_server", found: "9 for 36 ranks", allowed: "at most 32 ranks over all backend servers" },
@@ -207,27 +211,25 @@
 
 #[gtest]
 fn each_fault_is_reported_alone_and_exactly() {
-    // Symptom: an operator's form is refused, and the message names another field or none.
-    // Sequence: one field of a good document is spoilt; the document is parsed.
-    // Cause: a check that is missing, fires twice or words the wrong place.
+    // Guards against checks that are missing, report a fault twice or name the wrong path, so that
+    // the operator's form is rejected with a message about another field or none.
     for case in STRUCTURE.iter().chain(RANGES).chain(RULES) {
-        let faults = faults_of(&changed(case.change));
-        expect_that!(faults, eq(&vec![case.fault()]), "{}", case.name);
+        let faults = faults_of(&modified_example(case.change));
+        expect_that!(faults, eq(&vec![case.expected_fault()]), "{}", case.name);
     }
 }
 
 #[gtest]
 fn faults_of_several_fields_are_reported_together() {
-    // Symptom: an operator mends one fault after another, each found only by the next attempt.
-    // Sequence: fields of several entities are spoilt in one document.
-    // Cause: a parser that stops at the first field of another type.
-    struct Several {
+    // A parser that stops at the first field of the wrong type would make the operator correct one
+    // fault per attempt.
+    struct SeveralFaults {
         name: &'static str,
         change: fn(&mut Value),
         paths: &'static [&'static str],
     }
     let cases = [
-        Several {
+        SeveralFaults {
             name: "structure in two entities and one field twice",
             change: |d| {
                 d["teams"][2]["limit"]["burst_requests"] = json!("many");
@@ -242,12 +244,12 @@
                 "tiers[0].rank",
             ],
         },
-        Several {
-            name: "a floor of all, which is also a sum of all",
+        SeveralFaults {
+            name: "a floor of the whole, which also makes the sum too large",
             change: |d| d["tiers"][0]["floor_permille"] = json!(1000),
             paths: &["tiers[0].floor_permille", "tiers"],
         },
-        Several {
+        SeveralFaults {
             name: "a range and a reference",
             change: |d| {
                 d["teams"][2]["limit"]["burst_requests"] = json!(0);
@@ -257,18 +259,17 @@
         },
     ];
     for case in cases {
-        let faults = faults_of(&changed(case.change));
+        let faults = faults_of(&modified_example(case.change));
         let paths: Vec<&str> = faults.iter().map(|fault| fault.path.as_str()).collect();
         expect_that!(paths, eq(case.paths), "{}", case.name);
     }
 }
 
 #[gtest]
-fn lists_longer_than_a_fleet_are_refused() {
-    // Symptom: a generated document with a list run wild is accepted and fills every process.
-    // Sequence: an entry is repeated beyond the bound.
-    // Cause: a list without an upper bound.
-    let bytes = changed(|d| d["tiers"] = repeat(&d["tiers"][0], 17));
+fn lists_above_their_bound_are_refused() {
+    // Without an upper bound, a generated document with an excessively long list would be accepted
+    // and fill the memory of every process.
+    let bytes = modified_example(|d| d["tiers"] = repeat(&d["tiers"][0], 17));
     let faults = faults_of(&bytes);
     expect_that!(
         faults[0].to_string(),
@@ -277,36 +278,35 @@
 }
 
 #[gtest]
-fn bytes_that_are_no_document_are_refused() {
-    // Symptom: a cut or doubled document is adopted in part.
-    // Sequence: the bytes end early, go on after the end, repeat a key or exceed the platform.
-    // Cause: a parser that is lenient about what surrounds the value.
-    struct Bytes {
+fn malformed_bytes_are_refused() {
+    // A lenient parser would adopt a part of a document that is truncated, has trailing bytes,
+    // repeats a key or exceeds the platform's size limit.
+    struct InvalidBytes {
         name: &'static str,
         bytes: Vec<u8>,
         fault: &'static str,
     }
-    let good = String::from_utf8(changed(|_| {})).expect("JSON is text");
+    let good = String::from_utf8(modified_example(|_| {})).expect("JSON is text");
     let cases = [
-        Bytes {
-            name: "cut",
+        InvalidBytes {
+            name: "truncated",
             bytes: b"{\"title\": ".to_vec(),
             fault: "$: found line 1 column 10, allowed is JSON; the parser reports: EOF while parsing a value at line 1 column 10",
         },
-        Bytes {
-            name: "trailing",
+        InvalidBytes {
+            name: "trailing bytes",
             bytes: b"{} {}".to_vec(),
             fault: "$: found line 1 column 4, allowed is JSON; the parser reports: trailing characters at line 1 column 4",
         },
-        Bytes {
+        InvalidBytes {
             name: "a repeated key",
             bytes: good
                 .replacen("\"burst_requests\"", "\"burst_requests\":1,\"burst_requests\"", 1)
                 .into(),
             fault: "teams[0].limit.burst_requests: found a repeated key, allowed is each key once",
         },
-        Bytes {
-            name: "beyond a value of the configuration service",
+        InvalidBytes {
+            name: "larger than a value of the configuration service",
             bytes: vec![b' '; 1_000_001],
             fault: "$: found 1000001 bytes, allowed is at most 1000000 bytes",
         },
@@ -318,11 +318,10 @@
 }
 
 #[gtest]
-fn a_document_built_in_memory_meets_the_same_checks() {
-    // Symptom: a form's document passes in the console and is refused by every process.
-    // Sequence: a weight that JSON cannot hold and a newer version are set on the types.
-    // Cause: checks that only run on bytes.
-    let mut document: Document = parse(&changed(|_| {})).expect("the example is valid");
+fn validate_rejects_invalid_documents_built_in_memory() {
+    // If checks ran only on parsed bytes, the console would accept a document built from a form
+    // that every process then rejects. NaN is a weight that JSON cannot represent.
+    let mut document: Document = parse(&modified_example(|_| {})).expect("the example is valid");
     document.balance.skew_weight = f64::NAN;
     let faults: Vec<String> = validate(&document).iter().map(ToString::to_string).collect();
     expect_that!(
