--- a/crates/entry/tests/tls.rs
+++ b/crates/entry/tests/tls.rs
@@ -6,7 +6,7 @@
 use hickorycross_core::{Incarnation, InstanceId, LinkId};
 use hickorycross_entry::CallerTls;
 use hickorycross_entry::demo::Stage;
-use hickorycross_protocol::{Hello, PeerRole, VERSIONS};
+use hickorycross_protocol::{Hello, PeerRole, SUPPORTED_VERSIONS};
 use hickorycross_runtime::clock::SteadyClock;
 use hickorycross_runtime::link::{Greet, LinkEvent, Links, Listener};
 use hickorycross_runtime::security::authority::{AUTHORITY_FILE, Authority, Holder};
@@ -72,7 +72,7 @@
 impl Greet for Role {
     fn hello(&self) -> Hello {
         Hello {
-            versions: VERSIONS,
+            versions: SUPPORTED_VERSIONS,
             instance: InstanceId::new("test"),
             incarnation: Incarnation(1),
             role: self.0.clone(),
--- a/crates/lab/src/capacity/bytes.rs
+++ b/crates/lab/src/capacity/bytes.rs
@@ -9,7 +9,7 @@
     AgentState, Load, RequestHead, Submit, TeamDemand, TeamTotal, TierWaiting, ToAgent, ToEntry,
 };
 use hickorycross_core::{AttemptId, Incarnation, InstanceId, RequestId, UnixMs};
-use hickorycross_protocol::{ConfigOffer, Frame, Hello, PeerRole, VERSIONS, encode};
+use hickorycross_protocol::{ConfigOffer, Frame, Hello, PeerRole, SUPPORTED_VERSIONS, encode};
 use serde::Serialize;
 
 /// Identifiers are drawn at random, so that they take their full length.
@@ -72,7 +72,7 @@
 
 fn hello() -> Hello {
     Hello {
-        versions: VERSIONS,
+        versions: SUPPORTED_VERSIONS,
         instance: InstanceId::new("agent-of-runner-123"),
         incarnation: INCARNATION,
         role: PeerRole::Agent { backend_server: FleetShape::backend(123) },
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -22,4 +22,4 @@
 pub use codec::{CodecError, LENGTH_BYTES, MAX_FRAME_BYTES, body_length, decode, encode};
 pub use frame::{Frame, Hello, PeerRole};
 pub use offer::{ConfigOffer, MAX_DOCUMENT_BYTES, OfferCache, OfferError};
-pub use version::{VERSIONS, Version, VersionRange, negotiate};
+pub use version::{SUPPORTED_VERSIONS, Version, VersionRange, negotiate};
--- a/crates/protocol/src/version.rs
+++ b/crates/protocol/src/version.rs
@@ -25,7 +25,8 @@
 }
 
 /// The versions that this release speaks.
-pub const VERSIONS: VersionRange = VersionRange { lowest: Version(1), highest: Version(1) };
+pub const SUPPORTED_VERSIONS: VersionRange =
+    VersionRange { lowest: Version(1), highest: Version(1) };
 
 /// The highest version that both ends speak, if there is one.
 #[must_use]
--- a/crates/protocol/tests/codec.rs
+++ b/crates/protocol/tests/codec.rs
@@ -5,7 +5,7 @@
 use hickorycross_core::message::{ToAgent, ToEntry};
 use hickorycross_core::{AttemptId, Incarnation, InstanceId, RequestId};
 use hickorycross_protocol::{
-    CodecError, Frame, Hello, LENGTH_BYTES, MAX_FRAME_BYTES, PeerRole, VERSIONS, Version,
+    CodecError, Frame, Hello, LENGTH_BYTES, MAX_FRAME_BYTES, PeerRole, SUPPORTED_VERSIONS, Version,
     VersionRange, body_length, decode, encode, negotiate,
 };
 use proptest::prelude::{any, proptest};
@@ -27,7 +27,7 @@
         RoundTrip {
             name: "hello of an agent",
             frame: Frame::Hello(Hello {
-                versions: VERSIONS,
+                versions: SUPPORTED_VERSIONS,
                 instance: InstanceId::new("agent-1"),
                 incarnation: Incarnation(5),
                 role: PeerRole::Agent { backend_server: BackendServerId::new("runner-1") },
--- a/crates/runtime/src/link/handshake.rs
+++ b/crates/runtime/src/link/handshake.rs
@@ -3,7 +3,7 @@
 use super::Shared;
 use super::stream::{read_frame, write_frame};
 use crate::security::{AGENT_NAME, ENTRY_NAME, certificate_names};
-use hickorycross_protocol::{Frame, Hello, PeerRole, VERSIONS, negotiate};
+use hickorycross_protocol::{Frame, Hello, PeerRole, SUPPORTED_VERSIONS, negotiate};
 use quinn::{Connection, RecvStream, SendStream};
 use std::time::Duration;
 
@@ -53,7 +53,7 @@
     let Frame::Hello(hello) = first else {
         return Err("the first frame was no greeting".to_owned());
     };
-    if negotiate(VERSIONS, hello.versions).is_none() {
+    if negotiate(SUPPORTED_VERSIONS, hello.versions).is_none() {
         return Err(format!("no common version with {:?}", hello.versions));
     }
     let name = match hello.role {
--- a/crates/runtime/src/view.rs
+++ b/crates/runtime/src/view.rs
@@ -4,7 +4,7 @@
 use crate::link::Greet;
 use crate::operators::{Inspect, Status};
 use hickorycross_core::{Incarnation, InstanceId};
-use hickorycross_protocol::{Hello, PeerRole, VERSIONS};
+use hickorycross_protocol::{Hello, PeerRole, SUPPORTED_VERSIONS};
 use std::sync::{Mutex, PoisonError};
 
 /// State shared between the driver, which writes it, and the servers, which show it.
@@ -60,7 +60,7 @@
     fn hello(&self) -> Hello {
         let status = self.status.lock().unwrap_or_else(PoisonError::into_inner);
         Hello {
-            versions: VERSIONS,
+            versions: SUPPORTED_VERSIONS,
             instance: status.instance.clone(),
             incarnation: status.incarnation,
             role: self.role.clone(),
--- a/crates/runtime/tests/fleet.rs
+++ b/crates/runtime/tests/fleet.rs
@@ -3,14 +3,14 @@
 use googletest::prelude::*;
 use hickorycross_config::{Digest, FailureDomainId, Stamp};
 use hickorycross_core::{Incarnation, Instance, InstanceId, InstanceState, LinkId, Role, UnixMs};
-use hickorycross_protocol::{Hello, PeerRole, VERSIONS};
+use hickorycross_protocol::{Hello, PeerRole, SUPPORTED_VERSIONS};
 use hickorycross_runtime::fleet::Fleet;
 
 const LINK: LinkId = LinkId(7);
 
 fn hello(instance: &str, revision: u64) -> Hello {
     Hello {
-        versions: VERSIONS,
+        versions: SUPPORTED_VERSIONS,
         instance: InstanceId::new(instance),
         incarnation: Incarnation(1),
         role: PeerRole::Entry,
