--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -1,4 +1,7 @@
-//! Requests to the backend server, over loopback.
+//! HTTP client for the backend server, which is reached over loopback.
+//!
+//! Each request runs in a task of its own that sends the response to the driver as
+//! [`AgentEvent`]s: the head, each chunk of the body, then the end or a failure.
 
 use bytes::Bytes;
 use futures_util::StreamExt;
@@ -11,15 +14,15 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Carries the attempt's identifier, so that a backend server's log can be joined with ours.
+/// Header with the attempt's identifier, for correlating the backend server's logs with ours.
 const ATTEMPT_HEADER: &str = "x-hickorycross-attempt";
-/// Carries the rank of the tier, 0 first, for engines that honour priorities.
+/// Header with the rank of the tier, 0 being the highest, for engines that support priorities.
 const PRIORITY_HEADER: &str = "x-hickorycross-priority";
-/// A connection over loopback that takes longer has failed.
+/// Timeout for connecting over loopback.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// A health check that takes longer has failed.
+/// Timeout for a health check, response included.
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(2);
-/// Connection-level headers of either direction, which are not passed on.
+/// Headers that belong to one connection and are not forwarded in either direction.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "host",
@@ -32,27 +35,31 @@
     "upgrade",
 ];
 
-/// One request for the backend server.
-pub(crate) struct Run {
+/// A request to be sent to the backend server.
+pub(crate) struct BackendRequest {
     pub(crate) attempt: AttemptId,
     pub(crate) head: RequestHead,
     pub(crate) body: Bytes,
+    /// The request is not sent after this time.
     pub(crate) deadline: UnixMs,
+    /// Rank of the tier, 0 being the highest.
     pub(crate) priority: u8,
 }
 
-/// The backend server beside this agent.
+/// Sends requests and health checks to the backend server beside this agent.
 #[derive(Clone)]
-pub(crate) struct Backend {
+pub(crate) struct BackendClient {
     client: reqwest::Client,
     base_url: String,
     health_url: String,
     clock: SteadyClock,
 }
 
-impl Backend {
-    /// Redirects are the caller's business, and a repeat by the HTTP library could run a request
-    /// twice that must run once.
+impl BackendClient {
+    /// Creates a client that neither follows redirects nor retries.
+    ///
+    /// Redirects are returned to the caller, who decides whether to follow them. A retry by the
+    /// HTTP library could execute a non-idempotent request twice.
     pub(crate) fn new(
         base_url: &str,
         health_path: &str,
@@ -69,60 +76,66 @@
         Ok(Self { client, base_url, health_url, clock })
     }
 
-    /// Whether the backend server answers its health check.
+    /// Returns whether the backend server answers its health check with a success status.
     pub(crate) async fn is_healthy(&self) -> bool {
         let answer = self.client.get(&self.health_url).timeout(HEALTH_TIMEOUT).send().await;
         answer.is_ok_and(|response| response.status().is_success())
     }
 
-    /// Runs a request and reports every piece of its answer.
-    pub(crate) async fn run(self, run: Run, events: UnboundedSender<AgentEvent>) {
-        let attempt = run.attempt;
-        if let Err((verdict, detail)) = self.run_reporting(run, &events).await {
+    /// Sends a request and reports its response, or its failure, to `events`.
+    pub(crate) async fn run(self, request: BackendRequest, events: UnboundedSender<AgentEvent>) {
+        let attempt = request.attempt;
+        if let Err((verdict, detail)) = self.stream_response(request, &events).await {
             let _ = events.send(AgentEvent::BackendFailed { attempt, verdict, detail });
         }
     }
 
-    async fn run_reporting(
+    /// Streams the response to `events`.
+    ///
+    /// A failure is returned with its verdict on whether the backend server has run the request.
+    async fn stream_response(
         &self,
-        run: Run,
+        request: BackendRequest,
         events: &UnboundedSender<AgentEvent>,
     ) -> Result<(), (Verdict, String)> {
-        let attempt = run.attempt;
-        let request = self.request(&run)?;
-        // The process may have been frozen between the core's decision and this line; work that
-        // expired meanwhile must not begin, since its caller has been told that it did not run.
-        if run.deadline.is_past(self.clock.now()) {
+        let attempt = request.attempt;
+        let http_request = self.build_request(&request)?;
+        // The process may have been suspended since the core decided to start the request. An
+        // expired request must not start: its caller has already been told that it did not run.
+        if request.deadline.is_past(self.clock.now()) {
             return Err((Verdict::NotRun, "the deadline passed before the start".to_owned()));
         }
-        let response = request.send().await.map_err(|error| send_failure(&error))?;
+        let response = http_request.send().await.map_err(|error| send_failure(&error))?;
         let head = response_head(&response);
         let _ = events.send(AgentEvent::BackendHead { attempt, head });
-        let mut pieces = response.bytes_stream();
-        while let Some(piece) = pieces.next().await {
-            let bytes = piece.map_err(|error| (Verdict::Ran, error.to_string()))?;
+        let mut chunks = response.bytes_stream();
+        while let Some(chunk) = chunks.next().await {
+            let bytes = chunk.map_err(|error| (Verdict::Ran, error.to_string()))?;
             let _ = events.send(AgentEvent::BackendChunk { attempt, bytes });
         }
         let _ = events.send(AgentEvent::BackendEnd { attempt });
         Ok(())
     }
 
-    fn request(&self, run: &Run) -> Result<RequestBuilder, (Verdict, String)> {
-        let method = Method::from_bytes(run.head.method.as_bytes())
+    fn build_request(&self, request: &BackendRequest) -> Result<RequestBuilder, (Verdict, String)> {
+        let method = Method::from_bytes(request.head.method.as_bytes())
             .map_err(|error| (Verdict::NotRun, error.to_string()))?;
-        let url = format!("{}{}", self.base_url, run.head.path);
-        let mut request = self.client.request(method, url);
-        for header in run.head.headers.iter().filter(|header| is_end_to_end(&header.name)) {
-            request = request.header(&header.name, header.value.as_slice());
+        let url = format!("{}{}", self.base_url, request.head.path);
+        let mut builder = self.client.request(method, url);
+        for header in request.head.headers.iter().filter(|header| is_end_to_end(&header.name)) {
+            builder = builder.header(&header.name, header.value.as_slice());
         }
-        Ok(request
-            .header(ATTEMPT_HEADER, run.attempt.to_string())
-            .header(PRIORITY_HEADER, run.priority.to_string())
-            .body(run.body.clone()))
+        Ok(builder
+            .header(ATTEMPT_HEADER, request.attempt.to_string())
+            .header(PRIORITY_HEADER, request.priority.to_string())
+            .body(request.body.clone()))
     }
 }
 
-/// Only a connection that was never made proves that the backend server saw nothing.
+/// Classifies a failure to send a request.
+///
+/// `NotRun` requires that no connection was made: only then is it certain that the backend server
+/// received nothing.
 fn send_failure(error: &reqwest::Error) -> (Verdict, String) {
     let verdict = if error.is_connect() || error.is_builder() {
         Verdict::NotRun
--- a/crates/agent/src/cli.rs
+++ b/crates/agent/src/cli.rs
@@ -1,4 +1,4 @@
-//! The agent's command line.
+//! Commands and flags of the agent's program.
 
 use crate::program::Agent;
 use crate::settings::Settings;
@@ -11,13 +11,13 @@
 use std::ffi::OsString;
 use std::process::ExitCode;
 
-/// What a newcomer does first.
+/// First steps, shown at the end of the help text.
 const FIRST_STEPS: &str = "An agent stands beside each backend server. First steps:
   hickorycross-agent check --settings agent.json    check a settings file
   hickorycross-agent run --settings agent.json      run beside the backend server
   hickorycross-agent status http://127.0.0.1:7401   see how it fares";
 
-/// The agent's commands and flags.
+/// Returns the definition of the agent's commands and flags.
 #[must_use]
 pub fn command_line() -> Command {
     Command::new("hickorycross-agent")
@@ -42,7 +42,7 @@
         .subcommand(command::completions_command())
 }
 
-/// Runs a command line and gives the exit code.
+/// Parses and runs a command line. Returns the exit code of the process.
 pub fn run(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     let matches = match command_line().try_get_matches_from(arguments) {
         Ok(matches) => matches,
@@ -62,6 +62,9 @@
     command::conclude(done)
 }
 
+/// Runs an agent until a stop signal has arrived and the agent has drained.
+///
+/// A second signal ends the drain at once and is reported as an error.
 fn run_agent(settings: &Settings) -> miette::Result<()> {
     logs::install(&settings.log_filter).into_diagnostic()?;
     let runtime = tokio::runtime::Runtime::new().into_diagnostic()?;
--- a/crates/agent/src/driver.rs
+++ b/crates/agent/src/driver.rs
@@ -1,7 +1,11 @@
-//! Turns what happens around the process into events for the core and carries out its actions.
+//! The agent's event loop.
+//!
+//! [`Driver`] receives link events, updates from the platform, responses of the backend server and
+//! events of the engine. It passes them to the agent's core, to the [`Group`] member and to the
+//! [`ConfigFollower`], and executes the core's actions.
 
-use crate::backend::{Backend, Run};
-use crate::export::Export;
+use crate::backend::{BackendClient, BackendRequest};
+use crate::export::MetricsExporter;
 use crate::group::{EngineEvent, Group};
 use hickorycross_config::BackendServerId;
 use hickorycross_core::agent::{AgentAction, AgentCore, AgentEvent};
@@ -24,53 +28,55 @@
 use tokio::task::AbortHandle;
 use tokio::time::MissedTickBehavior;
 
-/// Pause between two ticks of the core.
-const TICK: Duration = Duration::from_millis(20);
-/// Pause between two health checks of the backend server.
-const HEALTH_PAUSE: Duration = Duration::from_millis(500);
+/// Interval between two ticks of the core.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Pause between the end of a health check of the backend server and the start of the next.
+const HEALTH_CHECK_PAUSE: Duration = Duration::from_millis(500);
 
-/// What reaches the driver from outside.
-pub(crate) struct Inputs {
+/// Channels from which the driver receives events.
+pub(crate) struct DriverInputs {
     pub(crate) links: UnboundedReceiver<LinkEvent>,
     pub(crate) platform: UnboundedReceiver<PlatformEvent>,
     pub(crate) engine: UnboundedReceiver<EngineEvent>,
+    /// Requests a graceful shutdown.
     pub(crate) drain: oneshot::Receiver<()>,
 }
 
-/// What the driver acts on.
-pub(crate) struct Parts {
+/// The components that the driver operates.
+pub(crate) struct DriverParts {
     pub(crate) core: AgentCore,
     pub(crate) group: Group,
     pub(crate) follower: ConfigFollower,
-    pub(crate) own: InstanceId,
+    pub(crate) instance: InstanceId,
     pub(crate) links: Links,
-    pub(crate) backend: Backend,
+    pub(crate) backend: BackendClient,
     pub(crate) view: Arc<View>,
     pub(crate) trail: Arc<Trail>,
     pub(crate) clock: SteadyClock,
 }
 
-/// Runs an agent until it has drained.
+/// Runs an agent's event loop until the agent has drained.
 pub(crate) struct Driver {
-    parts: Parts,
+    parts: DriverParts,
     backend_events: UnboundedSender<AgentEvent>,
-    runs: IndexMap<AttemptId, AbortHandle>,
-    export: Export,
-    /// Links by the backend server at their other end, for agents.
-    agents: IndexMap<LinkId, BackendServerId>,
+    /// Tasks of the requests that run at the backend server.
+    run_tasks: IndexMap<AttemptId, AbortHandle>,
+    exporter: MetricsExporter,
+    /// Links to other agents, with the backend server of each agent.
+    agent_links: IndexMap<LinkId, BackendServerId>,
     drained: bool,
 }
 
 impl Driver {
-    pub(crate) fn new(parts: Parts) -> (Self, UnboundedReceiver<AgentEvent>) {
+    pub(crate) fn new(parts: DriverParts) -> (Self, UnboundedReceiver<AgentEvent>) {
         let (backend_events, receiver) = unbounded_channel();
-        let export = Export::new(&parts.own);
+        let exporter = MetricsExporter::new(&parts.instance);
         let driver = Self {
             parts,
             backend_events,
-            runs: IndexMap::new(),
-            export,
-            agents: IndexMap::new(),
+            run_tasks: IndexMap::new(),
+            exporter,
+            agent_links: IndexMap::new(),
             drained: false,
         };
         (driver, receiver)
@@ -78,13 +84,13 @@
 
     pub(crate) async fn run(
         mut self,
-        mut inputs: Inputs,
+        mut inputs: DriverInputs,
         mut backend: UnboundedReceiver<AgentEvent>,
     ) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let health =
-            tokio::spawn(watch_health(self.parts.backend.clone(), self.backend_events.clone()));
+            tokio::spawn(poll_health(self.parts.backend.clone(), self.backend_events.clone()));
         let mut draining = false;
         while !self.drained {
             tokio::select! {
@@ -95,10 +101,10 @@
                     self.handle(AgentEvent::Drain);
                 }
                 _ = ticks.tick() => self.tick(),
-                Some(event) = inputs.links.recv() => self.on_link(event),
-                Some(event) = backend.recv() => self.on_backend(event),
-                Some(event) = inputs.engine.recv() => self.on_engine(event),
-                Some(event) = inputs.platform.recv() => self.on_platform(event),
+                Some(event) = inputs.links.recv() => self.on_link_event(event),
+                Some(event) = backend.recv() => self.on_backend_event(event),
+                Some(event) = inputs.engine.recv() => self.on_engine_event(event),
+                Some(event) = inputs.platform.recv() => self.on_platform_event(event),
             }
         }
         health.abort();
@@ -108,21 +114,21 @@
         self.handle(AgentEvent::Tick);
         let now = self.parts.clock.now();
         self.with_group(|group, audit| group.tick(now, audit));
-        let followed = self.parts.follower.tick(now);
-        self.follow(followed);
+        let update = self.parts.follower.tick(now);
+        self.apply_update(update);
         let ready = self.parts.follower.has_document();
         self.parts.view.update(|status| status.ready = ready);
-        self.show();
+        self.publish_status();
     }
 
-    /// Shows state and counts to operators, once in a while.
-    fn show(&mut self) {
+    /// Publishes the status page and the metrics if an export is due.
+    fn publish_status(&mut self) {
         let now = self.parts.clock.now();
-        if self.export.is_due(now) {
+        if self.exporter.is_due(now) {
             let snapshot = self.parts.core.snapshot(now);
             let detail = serde_json::to_value(&snapshot).unwrap_or_default();
             self.parts.view.update(|status| status.detail = detail);
-            self.export.run(self.parts.core.counters(), &snapshot, &self.parts.view.status());
+            self.exporter.export(self.parts.core.counters(), &snapshot, &self.parts.view.status());
         }
     }
 
@@ -130,46 +136,46 @@
         let mut actions = Vec::new();
         self.parts.core.handle(self.parts.clock.now(), event, &mut actions);
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
     }
 
-    fn act(&mut self, action: AgentAction) {
+    fn execute(&mut self, action: AgentAction) {
         match action {
             AgentAction::Send { link, message } => {
                 self.parts.links.send(link, Frame::ToEntry(message));
             }
             AgentAction::Start { attempt, head, body, deadline, priority } => {
-                self.start(Run { attempt, head, body, deadline, priority });
+                self.start_request(BackendRequest { attempt, head, body, deadline, priority });
             }
-            AgentAction::Abort { attempt } => self.abort(attempt),
+            AgentAction::Abort { attempt } => self.abort_request(attempt),
             AgentAction::Audit(record) => self.parts.trail.write(record),
             AgentAction::Drained => self.drained = true,
         }
     }
 
-    fn start(&mut self, run: Run) {
-        let attempt = run.attempt;
+    fn start_request(&mut self, request: BackendRequest) {
+        let attempt = request.attempt;
         let backend = self.parts.backend.clone();
-        let task = tokio::spawn(backend.run(run, self.backend_events.clone()));
-        self.runs.insert(attempt, task.abort_handle());
+        let task = tokio::spawn(backend.run(request, self.backend_events.clone()));
+        self.run_tasks.insert(attempt, task.abort_handle());
     }
 
-    fn abort(&mut self, attempt: AttemptId) {
-        let Some(run) = self.runs.swap_remove(&attempt) else { return };
-        run.abort();
-        // An aborted task says nothing more. Without this the core would take the slot for
-        // occupied for ever: one would see an agent that runs nothing, refuses for a full queue
-        // and never ends its drain.
+    fn abort_request(&mut self, attempt: AttemptId) {
+        let Some(task) = self.run_tasks.swap_remove(&attempt) else { return };
+        task.abort();
+        // An aborted task sends no further event, so its end is reported here. Otherwise the core
+        // would count the slot as occupied forever: an idle agent would refuse requests because
+        // its queue is full, and would never finish draining.
         let detail = "nobody waits for it any more".to_owned();
         let verdict = Verdict::MayHaveRun;
         let _ = self.backend_events.send(AgentEvent::BackendFailed { attempt, verdict, detail });
     }
 
-    /// Lets the group do something and writes down what changed.
-    fn with_group(&mut self, job: impl FnOnce(&mut Group, &mut Vec<Change>)) {
+    /// Runs an operation on the group and writes the changes that it reports to the audit trail.
+    fn with_group(&mut self, operation: impl FnOnce(&mut Group, &mut Vec<Change>)) {
         let mut changes = Vec::new();
-        job(&mut self.parts.group, &mut changes);
+        operation(&mut self.parts.group, &mut changes);
         let at = self.parts.clock.now().unix_ms;
         let stamp = self.parts.follower.stamp();
         for change in changes {
@@ -177,108 +183,111 @@
         }
     }
 
-    fn on_engine(&mut self, event: EngineEvent) {
+    fn on_engine_event(&mut self, event: EngineEvent) {
         let now = self.parts.clock.now();
-        self.with_group(|group, audit| group.on_engine(now, event, audit));
+        self.with_group(|group, audit| group.on_engine_event(now, event, audit));
     }
 
-    fn on_backend(&mut self, event: AgentEvent) {
+    fn on_backend_event(&mut self, event: AgentEvent) {
         if let AgentEvent::BackendEnd { attempt } | AgentEvent::BackendFailed { attempt, .. } =
             &event
         {
-            self.runs.swap_remove(attempt);
+            self.run_tasks.swap_remove(attempt);
         }
         self.handle(event);
     }
 
-    fn on_link(&mut self, event: LinkEvent) {
+    fn on_link_event(&mut self, event: LinkEvent) {
         match event {
-            LinkEvent::Opened { link, hello } => self.on_opened(link, &hello),
+            LinkEvent::Opened { link, hello } => self.on_link_opened(link, &hello),
             LinkEvent::Frame { link, frame } => self.on_frame(link, frame),
             LinkEvent::Closed { link, reason } => {
                 log::debug!(target: "link", link = link.0, reason = reason.as_str(); "closed");
-                self.parts.group.closed(link);
-                self.agents.swap_remove(&link);
-                let followed = self.parts.follower.closed(self.parts.clock.now(), link);
-                self.follow(followed);
+                self.parts.group.on_link_closed(link);
+                self.agent_links.swap_remove(&link);
+                let update = self.parts.follower.closed(self.parts.clock.now(), link);
+                self.apply_update(update);
                 self.handle(AgentEvent::LinkClosed { link });
             }
         }
     }
 
-    fn on_opened(&mut self, link: LinkId, hello: &Hello) {
+    fn on_link_opened(&mut self, link: LinkId, hello: &Hello) {
         let now = self.parts.clock.now();
         match &hello.role {
             PeerRole::Entry => {
                 self.handle(AgentEvent::LinkOpened { link, entry: hello.incarnation });
             }
             PeerRole::Agent { backend_server } => {
-                self.agents.insert(link, backend_server.clone());
-                if self.parts.group.owns(link) {
-                    self.parts.group.opened(link);
+                self.agent_links.insert(link, backend_server.clone());
+                if self.parts.group.owns_link(link) {
+                    self.parts.group.on_link_opened(link);
                 }
             }
         }
-        let followed = self.parts.follower.greeted(now, link, hello.stamp);
-        self.follow(followed);
+        let update = self.parts.follower.greeted(now, link, hello.stamp);
+        self.apply_update(update);
     }
 
     fn on_frame(&mut self, link: LinkId, frame: Frame) {
         let now = self.parts.clock.now();
-        if let Some(backend_server) = self.agents.get(&link) {
-            self.parts.group.heard(backend_server);
+        if let Some(backend_server) = self.agent_links.get(&link) {
+            self.parts.group.record_activity(backend_server);
         }
         match frame {
             Frame::Group(message) => {
-                self.with_group(|group, audit| group.received(now, *message, audit));
+                self.with_group(|group, audit| group.on_message(now, *message, audit));
             }
-            Frame::RankLoad(load) => self.parts.group.load(now, *load),
+            Frame::RankLoad(load) => self.parts.group.on_load_report(now, *load),
             Frame::ToAgent(message) => {
                 if let ToAgent::Heartbeat { stamp, .. } = &message {
-                    let followed = self.parts.follower.heard(now, link, *stamp);
-                    self.follow(followed);
+                    let update = self.parts.follower.heard(now, link, *stamp);
+                    self.apply_update(update);
                 }
                 self.handle(AgentEvent::Message { link, message });
             }
             other => {
-                let followed = self.parts.follower.frame(now, link, &other);
-                self.follow(followed);
+                let update = self.parts.follower.frame(now, link, &other);
+                self.apply_update(update);
             }
         }
     }
 
-    fn on_platform(&mut self, event: PlatformEvent) {
+    fn on_platform_event(&mut self, event: PlatformEvent) {
         if let PlatformEvent::Instances(instances) = &event {
-            self.parts.group.listed(instances);
+            self.parts.group.set_instances(instances);
         }
-        let followed = self.parts.follower.platform(self.parts.clock.now(), &event);
-        self.follow(followed);
+        let update = self.parts.follower.platform(self.parts.clock.now(), &event);
+        self.apply_update(update);
     }
 
-    /// Hands an adopted document to the export, the group and the core, then tells the peers. A
-    /// rival of it concerns the core only.
-    fn follow(&mut self, followed: Option<Followed>) {
-        let (stamp, document) = match followed {
+    /// Applies a configuration update.
+    ///
+    /// An adopted document goes to the metrics exporter, the group and the core, and is then
+    /// announced to the peers. A conflicting document of the same revision goes to the core only.
+    fn apply_update(&mut self, update: Option<Followed>) {
+        let (stamp, document) = match update {
             Some(Followed::Adopted { stamp, document }) => (stamp, document),
             Some(Followed::Rival(document)) => {
                 return self.handle(AgentEvent::ConflictingDocument { document });
             }
             None => return,
         };
-        self.export.adopt(&document);
+        self.exporter.add_tiers(&document);
         let now = self.parts.clock.now();
-        self.with_group(|group, audit| group.adopt(now, stamp, &document, audit));
+        self.with_group(|group, audit| group.adopt_document(now, stamp, &document, audit));
         self.handle(AgentEvent::Adopted { stamp, document });
         self.parts.follower.announce();
     }
 }
 
-async fn watch_health(backend: Backend, events: UnboundedSender<AgentEvent>) {
+/// Checks the health of the backend server periodically until the receiver is closed.
+async fn poll_health(backend: BackendClient, events: UnboundedSender<AgentEvent>) {
     loop {
         let healthy = backend.is_healthy().await;
         if events.send(AgentEvent::BackendHealth { healthy }).is_err() {
             return;
         }
-        tokio::time::sleep(HEALTH_PAUSE).await;
+        tokio::time::sleep(HEALTH_CHECK_PAUSE).await;
     }
 }
--- a/crates/agent/src/export.rs
+++ b/crates/agent/src/export.rs
@@ -1,4 +1,4 @@
-//! Hands the core's counts and state to the metrics of the process. docs/METRICS.md lists them.
+//! Exports the core's counters and state as metrics, which docs/METRICS.md lists.
 
 use hickorycross_config::Document;
 use hickorycross_core::agent::{AgentCounters, AgentSnapshot};
@@ -6,10 +6,10 @@
 use hickorycross_runtime::exposition::{MetricKind, MetricName};
 use hickorycross_runtime::operators::Status;
 
-/// Begins the name of every metric of an agent.
+/// Prefix of the names of all metrics of an agent.
 const PREFIX: &str = "hickorycross_agent_";
-/// Time between two exports.
-const PAUSE_MS: u64 = 1_000;
+/// Interval between two exports.
+const EXPORT_INTERVAL_MS: u64 = 1_000;
 const LINKS: &str = "hickorycross_agent_links";
 const RUNNING: &str = "hickorycross_agent_running_requests";
 const SLOTS: &str = "hickorycross_agent_slots";
@@ -23,7 +23,7 @@
 const GAUGES: [&str; 10] =
     [LINKS, RUNNING, SLOTS, QUEUED, RETAINED, KEYS, REVISION, REFUSED_REVISION, WALL_OFFSET, READY];
 
-/// Every metric that an agent registers.
+/// Returns the name and kind of every metric that an agent exports.
 #[must_use]
 pub fn metric_names() -> Vec<MetricName> {
     let counters = AgentCounters::default().rows();
@@ -33,65 +33,73 @@
     counters.chain(gauges).collect()
 }
 
-/// Exports once a second.
+/// Exports the metrics of an agent once a second.
 #[derive(Debug)]
-pub(crate) struct Export {
+pub(crate) struct MetricsExporter {
     process: String,
-    due: UnixMs,
-    /// Ranks of the tiers of every document so far: a gauge shows zero where nothing waits.
-    ranks: Vec<u8>,
+    next_export_at: UnixMs,
+    /// Ranks of the tiers of all documents so far. The queue gauge of each is exported even when it
+    /// is zero.
+    tier_ranks: Vec<u8>,
 }
 
-impl Export {
-    /// `instance` tells the processes of one recorder apart.
+impl MetricsExporter {
+    /// Creates an exporter that labels its metrics with `instance`.
+    ///
+    /// The label distinguishes several agents that share one recorder in the same process.
     pub(crate) fn new(instance: &InstanceId) -> Self {
-        Self { process: instance.to_string(), due: UnixMs(0), ranks: Vec::new() }
+        Self { process: instance.to_string(), next_export_at: UnixMs(0), tier_ranks: Vec::new() }
     }
 
-    /// Learns the tiers of a document.
-    pub(crate) fn adopt(&mut self, document: &Document) {
+    /// Adds the tiers of a document to those whose queues are exported.
+    pub(crate) fn add_tiers(&mut self, document: &Document) {
         for tier in &document.tiers {
-            if !self.ranks.contains(&tier.rank) {
-                self.ranks.push(tier.rank);
+            if !self.tier_ranks.contains(&tier.rank) {
+                self.tier_ranks.push(tier.rank);
             }
         }
     }
 
-    /// Whether an export is due; it is then due again later.
+    /// Returns whether an export is due and, if so, schedules the next one.
     pub(crate) fn is_due(&mut self, now: Now) -> bool {
-        let is_due = self.due.is_past(now);
+        let is_due = self.next_export_at.is_past(now);
         if is_due {
-            self.due = now.after(PAUSE_MS);
+            self.next_export_at = now.after(EXPORT_INTERVAL_MS);
         }
         is_due
     }
 
-    /// Hands everything on.
-    pub(crate) fn run(&self, counters: &AgentCounters, snapshot: &AgentSnapshot, status: &Status) {
+    /// Exports all counters and gauges.
+    pub(crate) fn export(
+        &self,
+        counters: &AgentCounters,
+        snapshot: &AgentSnapshot,
+        status: &Status,
+    ) {
         for row in counters.rows() {
             metrics::counter!(counter_name(row.name), "process" => self.process.clone())
                 .absolute(row.value);
         }
-        self.queued(snapshot);
-        self.gauge(LINKS, f64::from(snapshot.links));
-        self.gauge(RUNNING, f64::from(snapshot.load.running));
-        self.gauge(SLOTS, f64::from(snapshot.load.slots));
-        self.gauge(RETAINED, snapshot.retained_bytes as f64);
-        self.gauge(KEYS, snapshot.keys as f64);
-        self.gauge(REVISION, status.stamp.revision as f64);
+        self.set_queue_gauges(snapshot);
+        self.set_gauge(LINKS, f64::from(snapshot.links));
+        self.set_gauge(RUNNING, f64::from(snapshot.load.running));
+        self.set_gauge(SLOTS, f64::from(snapshot.load.slots));
+        self.set_gauge(RETAINED, snapshot.retained_bytes as f64);
+        self.set_gauge(KEYS, snapshot.keys as f64);
+        self.set_gauge(REVISION, status.stamp.revision as f64);
         let refused = status.refused.map_or(0, |stamp| stamp.revision);
-        self.gauge(REFUSED_REVISION, refused as f64);
-        self.gauge(WALL_OFFSET, status.wall_offset_ms as f64);
-        self.gauge(READY, if status.ready && !status.draining { 1.0 } else { 0.0 });
+        self.set_gauge(REFUSED_REVISION, refused as f64);
+        self.set_gauge(WALL_OFFSET, status.wall_offset_ms as f64);
+        self.set_gauge(READY, if status.ready && !status.draining { 1.0 } else { 0.0 });
     }
 
-    fn gauge(&self, name: &'static str, value: f64) {
+    fn set_gauge(&self, name: &'static str, value: f64) {
         metrics::gauge!(name, "process" => self.process.clone()).set(value);
     }
 
-    fn queued(&self, snapshot: &AgentSnapshot) {
+    fn set_queue_gauges(&self, snapshot: &AgentSnapshot) {
         let waiting = &snapshot.load.waiting;
-        for rank in &self.ranks {
+        for rank in &self.tier_ranks {
             let found = waiting.iter().find(|row| row.rank == *rank);
             let count = found.map_or(0, |row| row.requests);
             let process = self.process.clone();
--- a/crates/agent/src/group/engine.rs
+++ b/crates/agent/src/group/engine.rs
@@ -1,6 +1,6 @@
-//! Orders to the engine and what it reports, over loopback.
+//! HTTP client for the engine beside this agent: sends orders and polls state and load.
 //!
-//! The protocol is the engine's; docs/PLATFORM.md describes it.
+//! The engine defines the protocol, which docs/PLATFORM.md describes.
 
 use super::balance::Decision;
 use hickorycross_core::Fencing;
@@ -14,101 +14,108 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::AbortHandle;
 
-/// An order that is not answered within this time has failed.
+/// Timeout for each request to the engine. An order that is not answered in time has failed.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between two readings of the engine's state.
-const STATE_PAUSE: Duration = Duration::from_millis(100);
-/// Pause before an engine that gave no state is read again.
-const ABSENT_PAUSE: Duration = Duration::from_secs(1);
-/// Pause between two readings of the engine's load.
-const LOAD_PAUSE: Duration = Duration::from_millis(500);
-
-/// What comes from the engine.
+/// Pause between two polls of the state of the engine's ranks.
+const RANKS_POLL_PAUSE: Duration = Duration::from_millis(100);
+/// Pause after a poll that failed.
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
+/// Pause between two polls of the load of the engine's ranks.
+const LOADS_POLL_PAUSE: Duration = Duration::from_millis(500);
+
+/// An event from the engine, or from the decision about its map.
 pub(crate) enum EngineEvent {
-    /// It carried out an order, or says why not by its state.
+    /// The engine answered an order with its state, which shows whether it carried the order out.
     Answered { id: OrderId, state: EngineState },
-    /// It gave no answer to an order.
+    /// An order failed: the engine did not answer, answered with an error, or was not asked.
     Failed { id: OrderId },
-    /// It refused an order for its old fencing token.
+    /// The engine refused an order because it has seen a higher fencing token.
     Refused { id: OrderId, seen: Fencing },
-    /// It gave the content of a map.
+    /// The engine returned the content of a map.
     MapRead { id: OrderId, map: Arc<ExpertMap> },
-    /// What its ranks have done.
+    /// State of the engine's ranks.
     Ranks(RanksReport),
-    /// Load of its ranks over a span of steps.
+    /// Load of the engine's ranks over a span of steps.
     Load(RankLoad),
-    /// A decision about the map has been made.
+    /// A rebalancing decision is complete.
     Decided(Box<Decision>),
 }
 
-/// A place in the queue of orders.
-enum Queued {
-    Give(FencedOrder),
-    Withhold(OrderId),
+/// An item in the queue of orders.
+enum QueuedOrder {
+    /// An order to send.
+    Send(FencedOrder),
+    /// An order to report as failed without sending it.
+    Fail(OrderId),
 }
 
-/// An order on the wire.
+/// Body of a request that carries an order.
 #[derive(Serialize)]
-struct OrderCall<'a> {
+struct OrderRequest<'a> {
     fencing: Fencing,
     order: &'a EngineOrder,
 }
 
+/// Body of a response that refuses an order because of its fencing token.
 #[derive(Deserialize)]
-struct OldFencing {
+struct StaleFencing {
+    /// The highest token that the engine has seen.
     highest: Fencing,
 }
 
 #[derive(Deserialize)]
-struct Loads {
+struct LoadsResponse {
     windows: Vec<RankLoad>,
 }
 
 #[derive(Deserialize)]
-struct Maps {
+struct MapsResponse {
     maps: Vec<ExpertMap>,
 }
 
-/// What an engine says of its ranks.
+/// An engine's report on its ranks.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct RanksReport {
     /// The latest step of each local rank.
     pub(crate) steps: Vec<StepReport>,
-    /// Maps that are loaded.
+    /// Maps whose experts are loaded.
     pub(crate) resident: Vec<MapRef>,
-    /// The map whose load failed last.
+    /// The map whose load failed most recently, if any did.
     pub(crate) stage_failed: Option<MapRef>,
 }
 
-/// The engine beside this agent.
+/// Handle to the engine beside this agent, with the tasks that call it.
 #[derive(Debug)]
 pub(crate) struct Engine {
-    orders: UnboundedSender<Queued>,
+    orders: UnboundedSender<QueuedOrder>,
     tasks: [AbortHandle; 3],
 }
 
 impl Engine {
-    /// Begins to read the engine; events go to `events`.
+    /// Starts the tasks that send orders to the engine and poll it. They report to `events`.
     pub(crate) fn start(base_url: &str, events: UnboundedSender<EngineEvent>) -> Self {
-        let calls = Calls::new(base_url);
+        let client = EngineClient::new(base_url);
         let (orders, queue) = unbounded_channel();
-        let ordering = tokio::spawn(give_orders(calls.clone(), queue, events.clone()));
-        let watching = tokio::spawn(watch_state(calls.clone(), events.clone()));
-        let weighing = tokio::spawn(watch_load(calls, events));
-        let tasks = [ordering.abort_handle(), watching.abort_handle(), weighing.abort_handle()];
+        let order_task = tokio::spawn(process_orders(client.clone(), queue, events.clone()));
+        let ranks_task = tokio::spawn(poll_ranks(client.clone(), events.clone()));
+        let loads_task = tokio::spawn(poll_loads(client, events));
+        let tasks =
+            [order_task.abort_handle(), ranks_task.abort_handle(), loads_task.abort_handle()];
         Self { orders, tasks }
     }
 
-    /// Gives an order after those given before.
-    pub(crate) fn order(&self, order: FencedOrder) {
-        let _ = self.orders.send(Queued::Give(order));
+    /// Queues an order, which is sent after all earlier ones have been answered.
+    pub(crate) fn enqueue_order(&self, order: FencedOrder) {
+        let _ = self.orders.send(QueuedOrder::Send(order));
     }
 
-    /// Reports an order failed without giving it, after those given before are answered.
+    /// Queues a failure: the order is not sent, but reported as failed after all earlier orders
+    /// have been answered.
     ///
-    /// Reported at once, it would make the core believe that earlier orders are answered too.
-    pub(crate) fn withhold(&self, id: OrderId) {
-        let _ = self.orders.send(Queued::Withhold(id));
+    /// If the failure were reported at once, the core would assume that all earlier orders had been
+    /// answered too.
+    pub(crate) fn enqueue_failure(&self, id: OrderId) {
+        let _ = self.orders.send(QueuedOrder::Fail(id));
     }
 }
 
@@ -118,13 +125,14 @@
     }
 }
 
+/// Sends HTTP requests to the engine.
 #[derive(Clone)]
-struct Calls {
+struct EngineClient {
     client: reqwest::Client,
     base_url: String,
 }
 
-impl Calls {
+impl EngineClient {
     fn new(base_url: &str) -> Self {
         let client = reqwest::Client::builder()
             .no_proxy()
@@ -135,57 +143,60 @@
         Self { client, base_url: base_url.trim_end_matches('/').to_owned() }
     }
 
-    async fn carry_out(&self, order: &FencedOrder) -> Result<EngineEvent, reqwest::Error> {
+    /// Sends an order and returns its outcome.
+    async fn send_order(&self, order: &FencedOrder) -> Result<EngineEvent, reqwest::Error> {
         let id = order.id;
         if let EngineOrder::ReadMap { map } = order.order {
             let found = self.read_map(map).await?;
-            let read = |map| EngineEvent::MapRead { id, map };
-            return Ok(found.map_or(EngineEvent::Failed { id }, read));
+            let to_event = |map| EngineEvent::MapRead { id, map };
+            return Ok(found.map_or(EngineEvent::Failed { id }, to_event));
         }
-        let call = OrderCall { fencing: order.fencing, order: &order.order };
+        let call = OrderRequest { fencing: order.fencing, order: &order.order };
         let url = format!("{}/v1/orders", self.base_url);
         let response = self.client.post(url).json(&call).send().await?;
         match response.status().as_u16() {
             200 => Ok(EngineEvent::Answered { id, state: response.json().await? }),
             409 => {
-                let old: OldFencing = response.json().await?;
-                Ok(EngineEvent::Refused { id, seen: old.highest })
+                let stale: StaleFencing = response.json().await?;
+                Ok(EngineEvent::Refused { id, seen: stale.highest })
             }
             _ => Ok(EngineEvent::Failed { id }),
         }
     }
 
+    /// Returns a map that the engine holds, or `None` if it does not hold it.
     async fn read_map(&self, wanted: MapRef) -> Result<Option<Arc<ExpertMap>>, reqwest::Error> {
         let url = format!("{}/v1/ranks/maps", self.base_url);
-        let maps: Maps = self.client.get(url).send().await?.json().await?;
+        let maps: MapsResponse = self.client.get(url).send().await?.json().await?;
         let found = maps.maps.into_iter().find(|map| map.reference() == wanted);
         Ok(found.map(Arc::new))
     }
 
-    async fn ranks(&self) -> Result<RanksReport, reqwest::Error> {
+    async fn fetch_ranks(&self) -> Result<RanksReport, reqwest::Error> {
         let url = format!("{}/v1/ranks", self.base_url);
         self.client.get(url).send().await?.error_for_status()?.json().await
     }
 
-    /// The windows that end after a step, oldest first.
-    async fn loads(&self, after_step: u64) -> Result<Loads, reqwest::Error> {
+    /// Returns the load windows that end after `after_step`, oldest first.
+    async fn fetch_loads(&self, after_step: u64) -> Result<LoadsResponse, reqwest::Error> {
         let url = format!("{}/v1/ranks/load?after={after_step}", self.base_url);
         self.client.get(url).send().await?.error_for_status()?.json().await
     }
 }
 
-/// Gives one order at a time, so that the answer to an inspection covers every order before it.
-async fn give_orders(
-    calls: Calls,
-    mut orders: UnboundedReceiver<Queued>,
+/// Sends queued orders one at a time, so that the state returned by an inspection reflects every
+/// earlier order.
+async fn process_orders(
+    client: EngineClient,
+    mut orders: UnboundedReceiver<QueuedOrder>,
     events: UnboundedSender<EngineEvent>,
 ) {
     while let Some(order) = orders.recv().await {
         let event = match order {
-            Queued::Give(order) => {
-                calls.carry_out(&order).await.unwrap_or(EngineEvent::Failed { id: order.id })
+            QueuedOrder::Send(order) => {
+                client.send_order(&order).await.unwrap_or(EngineEvent::Failed { id: order.id })
             }
-            Queued::Withhold(id) => EngineEvent::Failed { id },
+            QueuedOrder::Fail(id) => EngineEvent::Failed { id },
         };
         if events.send(event).is_err() {
             return;
@@ -193,26 +204,29 @@
     }
 }
 
-async fn watch_state(calls: Calls, events: UnboundedSender<EngineEvent>) {
+/// Polls the state of the engine's ranks until the receiver is closed.
+async fn poll_ranks(client: EngineClient, events: UnboundedSender<EngineEvent>) {
     loop {
-        let pause = match calls.ranks().await {
+        let pause = match client.fetch_ranks().await {
             Ok(report) => {
                 if events.send(EngineEvent::Ranks(report)).is_err() {
                     return;
                 }
-                STATE_PAUSE
+                RANKS_POLL_PAUSE
             }
-            Err(_) => ABSENT_PAUSE,
+            Err(_) => RETRY_PAUSE,
         };
         tokio::time::sleep(pause).await;
     }
 }
 
-async fn watch_load(calls: Calls, events: UnboundedSender<EngineEvent>) {
+/// Polls the load of the engine's ranks until the receiver is closed, and merges its windows into
+/// spans.
+async fn poll_loads(client: EngineClient, events: UnboundedSender<EngineEvent>) {
     let mut read_through = 0;
     let mut spans = SpanBuilder::default();
     loop {
-        let pause = match calls.loads(read_through).await {
+        let pause = match client.fetch_loads(read_through).await {
             Ok(loads) => {
                 for window in loads.windows {
                     read_through = window.last_step;
@@ -221,9 +235,9 @@
                         return;
                     }
                 }
-                LOAD_PAUSE
+                LOADS_POLL_PAUSE
             }
-            Err(_) => ABSENT_PAUSE,
+            Err(_) => RETRY_PAUSE,
         };
         tokio::time::sleep(pause).await;
     }
--- a/crates/agent/src/group/loading.rs
+++ b/crates/agent/src/group/loading.rs
@@ -1,4 +1,7 @@
-//! The agent's fair share of the weight store, as the document sets it.
+//! Limits the loads of the engine beside this agent to a fair share of the weight store's
+//! bandwidth.
+//!
+//! The configuration document sets the total bandwidth, which all engines share equally.
 
 use hickorycross_config::{BackendKind, BackendServerId, Document, ModelGroup};
 use hickorycross_core::Now;
@@ -10,15 +13,16 @@
 use hickorycross_core::placement::{ServerLoadCap, WeightLoaderSettings};
 use std::ops::Range;
 
-/// What a document lets the agents of a group load.
+/// The share of the weight store's bandwidth that a document grants to each agent of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct StorePace {
+pub(crate) struct StoreShare {
     loader: WeightLoaderSettings,
     ranks_per_server: u16,
 }
 
-impl StorePace {
-    pub(crate) fn of(document: &Document, group: &ModelGroup) -> Self {
+impl StoreShare {
+    /// Computes the share of each agent of `group`.
+    pub(crate) fn new(document: &Document, group: &ModelGroup) -> Self {
         let is_engine = |kind| kind == BackendKind::Engine;
         let servers = document.backend_servers.iter();
         let engines = servers.filter(|server| is_engine(server.kind)).count();
@@ -30,13 +34,13 @@
         Self { loader, ranks_per_server: group.ranks_per_server }
     }
 
-    /// Bytes a second that one agent may load.
+    /// Returns the rate at which one agent may load, in bytes per second.
     pub(crate) fn share_bytes_per_s(&self) -> u64 {
         self.loader.share_bytes_per_s()
     }
 
-    /// What one agent can load before a change is abandoned.
-    pub(crate) fn server_cap(&self) -> ServerLoadCap {
+    /// Returns how many experts one agent can load before a change of maps is abandoned.
+    pub(crate) fn server_load_cap(&self) -> ServerLoadCap {
         let max_loads = loads_within(&self.loader, PAID_WITHIN_MS);
         ServerLoadCap {
             ranks_per_server: self.ranks_per_server,
@@ -45,40 +49,50 @@
     }
 }
 
-/// The loads of the engine beside this agent.
-pub(crate) struct Loading {
+/// Paces the loads of the engine beside this agent.
+pub(crate) struct LoadPacer {
     gate: StageGate,
+    /// Ranks that the engine hosts.
     ranks: Range<u16>,
     seed: u64,
 }
 
-impl Loading {
-    /// Begins for a group. The seed fixes the jitter after refusals.
+impl LoadPacer {
+    /// Creates a pacer for a group. `seed` determines the jitter of retries after refusals.
     pub(crate) fn new(
-        pace: StorePace,
+        store_share: StoreShare,
         group: &ModelGroup,
-        own: &BackendServerId,
+        own_server: &BackendServerId,
         seed: u64,
     ) -> Self {
-        Self { gate: StageGate::new(pace.loader, seed), ranks: local_ranks(group, own), seed }
+        Self {
+            gate: StageGate::new(store_share.loader, seed),
+            ranks: local_ranks(group, own_server),
+            seed,
+        }
     }
 
-    /// Follows another document.
-    pub(crate) fn adopt(
+    /// Applies the settings of another document.
+    pub(crate) fn update(
         &mut self,
         now: Now,
-        pace: StorePace,
+        store_share: StoreShare,
         group: &ModelGroup,
-        own: &BackendServerId,
+        own_server: &BackendServerId,
     ) {
-        self.ranks = local_ranks(group, own);
-        if self.gate.settings() != pace.loader {
-            self.gate.set_pace(now, pace.loader, self.seed);
+        self.ranks = local_ranks(group, own_server);
+        if self.gate.settings() != store_share.loader {
+            self.gate.set_pace(now, store_share.loader, self.seed);
         }
     }
 
-    /// Judges the order to load a map.
-    pub(crate) fn ask(&mut self, now: Now, member: &GroupMember, map: &ExpertMap) -> StageVerdict {
+    /// Decides whether an order to load a map may be sent to the engine now.
+    pub(crate) fn check_order(
+        &mut self,
+        now: Now,
+        member: &GroupMember,
+        map: &ExpertMap,
+    ) -> StageVerdict {
         let reference = map.reference();
         if member.is_needed_now(reference) {
             return self.gate.pass();
@@ -87,7 +101,7 @@
         self.gate.ask(now, reference, loads)
     }
 
-    /// Lets time pass; gives what the member has to know.
+    /// Advances the clock. Returns the event to pass to the member, if there is one.
     pub(crate) fn tick(&mut self, now: Now) -> Option<GroupEvent> {
         let event = match self.gate.tick(now)? {
             StageNews::Due(map) => GroupEvent::EngineStageDue(map),
@@ -96,13 +110,13 @@
         Some(event)
     }
 
-    /// The engine has loaded a map.
-    pub(crate) fn staged(&mut self, map: MapRef) {
+    /// Records that the engine has loaded a map.
+    pub(crate) fn on_staged(&mut self, map: MapRef) {
         self.gate.staged(map);
     }
 
-    /// The engine could not load a map; gives what the member has to know.
-    pub(crate) fn failed(&mut self, now: Now, map: MapRef) -> GroupEvent {
+    /// Records that the engine failed to load a map. Returns the event to pass to the member.
+    pub(crate) fn on_stage_failed(&mut self, now: Now, map: MapRef) -> GroupEvent {
         if self.gate.failed(now, map) {
             GroupEvent::EngineStageHeld(map)
         } else {
@@ -111,10 +125,10 @@
     }
 }
 
-/// Ranks on a server; none where the group does not name it.
-fn local_ranks(group: &ModelGroup, own: &BackendServerId) -> Range<u16> {
-    let place = group.backend_servers.iter().position(|server| server == own);
-    let first = place.and_then(|place| u16::try_from(place).ok());
-    let first = first.map(|place| place.saturating_mul(group.ranks_per_server));
+/// Returns the ranks that a backend server hosts, which are none if it is not in the group.
+fn local_ranks(group: &ModelGroup, own_server: &BackendServerId) -> Range<u16> {
+    let position = group.backend_servers.iter().position(|server| server == own_server);
+    let index = position.and_then(|position| u16::try_from(position).ok());
+    let first = index.map(|index| index.saturating_mul(group.ranks_per_server));
     first.map_or(0..0, |first| first..first.saturating_add(group.ranks_per_server))
 }
--- a/crates/agent/src/group/member.rs
+++ b/crates/agent/src/group/member.rs
@@ -1,9 +1,9 @@
-//! Drives one member of a group.
+//! Runs this agent's member of a model group.
 
 use super::balance::{Balancer, Decision};
 use super::engine::{Engine, EngineEvent, RanksReport};
-use super::loading::{Loading, StorePace};
-use super::peers::Peers;
+use super::loading::{LoadPacer, StoreShare};
+use super::peers::PeerLinks;
 use hickorycross_config::{BackendServerId, Document, ModelGroup, Stamp};
 use hickorycross_core::audit::Change;
 use hickorycross_core::group::{
@@ -17,44 +17,49 @@
 use std::collections::VecDeque;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// What stays the same while groups come and go.
-pub(crate) struct Ground {
-    pub(crate) own: BackendServerId,
+/// What a [`Group`] needs regardless of the group that the document assigns to it.
+pub(crate) struct GroupContext {
+    /// The backend server beside this agent.
+    pub(crate) own_server: BackendServerId,
     pub(crate) incarnation: Incarnation,
     pub(crate) backend_url: String,
     pub(crate) events: UnboundedSender<EngineEvent>,
 }
 
-/// The agent's group, if the document names its backend server in one.
+/// The agent's membership in a model group. It is inactive while no group in the document lists
+/// the agent's backend server.
 pub(crate) struct Group {
-    ground: Ground,
-    peers: Peers,
+    context: GroupContext,
+    peers: PeerLinks,
     stamp: Stamp,
-    running: Option<Running>,
+    active: Option<ActiveGroup>,
 }
 
-struct Running {
+/// State of the membership in one group.
+struct ActiveGroup {
     group: ModelGroup,
-    /// Whether the engine has ever said that it hosts ranks.
+    /// Whether the engine has ever reported ranks.
     hosts_ranks: bool,
     member: GroupMember,
     engine: Engine,
     balancer: Option<Balancer>,
-    pace: StorePace,
-    loading: Loading,
-    last_map: Option<MapRef>,
+    store_share: StoreShare,
+    load_pacer: LoadPacer,
+    last_committed_map: Option<MapRef>,
+    /// Maps that were loaded according to the engine's latest report.
     resident: Vec<MapRef>,
+    /// The most recent failed load according to the engine's latest report.
     stage_failed: Option<MapRef>,
 }
 
 impl Group {
-    pub(crate) fn new(ground: Ground, links: Links) -> Self {
-        let peers = Peers::new(links, ground.own.clone());
-        Self { ground, peers, stamp: Stamp::NONE, running: None }
+    pub(crate) fn new(context: GroupContext, links: Links) -> Self {
+        let peers = PeerLinks::new(links, context.own_server.clone());
+        Self { context, peers, stamp: Stamp::NONE, active: None }
     }
 
-    /// Follows another document.
-    pub(crate) fn adopt(
+    /// Applies an adopted document: joins, updates or leaves the group that it assigns.
+    pub(crate) fn adopt_document(
         &mut self,
         now: Now,
         stamp: Stamp,
@@ -62,27 +67,32 @@
         audit: &mut Vec<Change>,
     ) {
         self.stamp = stamp;
-        let own = &self.ground.own;
-        let group = document.model_groups.iter().find(|one| one.backend_servers.contains(own));
+        let own_server = &self.context.own_server;
+        let group =
+            document.model_groups.iter().find(|one| one.backend_servers.contains(own_server));
         let Some(group) = group else {
-            self.running = None;
+            self.active = None;
             return;
         };
         self.peers.set_members(&group.backend_servers);
         let membership = Membership::of(stamp, group);
-        match &mut self.running {
-            Some(running) if running.group.id == group.id => {
-                let pace = StorePace::of(document, group);
-                if running.group != *group || running.pace != pace {
-                    running.balancer =
-                        Balancer::new(group, document.balance, pace, self.ground.events.clone());
+        match &mut self.active {
+            Some(active) if active.group.id == group.id => {
+                let store_share = StoreShare::new(document, group);
+                if active.group != *group || active.store_share != store_share {
+                    active.balancer = Balancer::new(
+                        group,
+                        document.balance,
+                        store_share,
+                        self.context.events.clone(),
+                    );
                 }
-                running.loading.adopt(now, pace, group, own);
-                running.pace = pace;
-                running.group = group.clone();
+                active.load_pacer.update(now, store_share, group, own_server);
+                active.store_share = store_share;
+                active.group = group.clone();
                 self.handle(now, GroupEvent::MembershipRead(membership), audit);
             }
-            _ => self.running = Some(self.start(now, group, membership, document)),
+            _ => self.active = Some(self.start(now, group, membership, document)),
         }
     }
 
@@ -92,109 +102,120 @@
         group: &ModelGroup,
         membership: Membership,
         document: &Document,
-    ) -> Running {
-        let server = self.ground.own.clone();
+    ) -> ActiveGroup {
+        let server = self.context.own_server.clone();
         let checks_fencing =
             document.backend(server.as_str()).is_some_and(|server| server.checks_fencing);
-        let pace = StorePace::of(document, group);
-        let loading = Loading::new(pace, group, &server, self.ground.incarnation.0);
+        let store_share = StoreShare::new(document, group);
+        let load_pacer = LoadPacer::new(store_share, group, &server, self.context.incarnation.0);
         let settings = MemberSettings {
             server,
-            incarnation: self.ground.incarnation,
+            incarnation: self.context.incarnation,
             checks_fencing,
             membership,
             mechanisms: Mechanisms::default(),
         };
-        Running {
+        ActiveGroup {
             group: group.clone(),
             hosts_ranks: false,
             member: GroupMember::new(now, settings),
-            engine: Engine::start(&self.ground.backend_url, self.ground.events.clone()),
-            balancer: Balancer::new(group, document.balance, pace, self.ground.events.clone()),
-            pace,
-            loading,
-            last_map: None,
+            engine: Engine::start(&self.context.backend_url, self.context.events.clone()),
+            balancer: Balancer::new(
+                group,
+                document.balance,
+                store_share,
+                self.context.events.clone(),
+            ),
+            store_share,
+            load_pacer,
+            last_committed_map: None,
             resident: Vec::new(),
             stage_failed: None,
         }
     }
 
-    /// Follows the instance list.
-    pub(crate) fn listed(&mut self, instances: &[Instance]) {
+    /// Passes on the instance list, which provides the addresses of the other members.
+    pub(crate) fn set_instances(&mut self, instances: &[Instance]) {
         self.peers.set_instances(instances);
     }
 
-    /// Whether a link was opened for the group.
-    pub(crate) fn owns(&self, link: LinkId) -> bool {
-        self.peers.owns(link)
+    /// Returns whether a link was opened for the group.
+    pub(crate) fn owns_link(&self, link: LinkId) -> bool {
+        self.peers.owns_link(link)
     }
 
-    /// A link of the group is up.
-    pub(crate) fn opened(&mut self, link: LinkId) {
-        self.peers.opened(link);
+    /// Handles an opened link of the group.
+    pub(crate) fn on_link_opened(&mut self, link: LinkId) {
+        self.peers.on_link_opened(link);
     }
 
-    /// A link has ended.
-    pub(crate) fn closed(&mut self, link: LinkId) {
-        self.peers.closed(link);
+    /// Handles a closed link. Links that are not of the group are ignored.
+    pub(crate) fn on_link_closed(&mut self, link: LinkId) {
+        self.peers.on_link_closed(link);
     }
 
-    /// Notes a sign of life of another agent.
-    pub(crate) fn heard(&mut self, from: &BackendServerId) {
-        self.peers.heard(from);
+    /// Records that a frame arrived from another agent.
+    pub(crate) fn record_activity(&mut self, from: &BackendServerId) {
+        self.peers.record_activity(from);
     }
 
-    /// A message of another member.
-    pub(crate) fn received(&mut self, now: Now, message: GroupMessage, audit: &mut Vec<Change>) {
-        if self.takes_part() {
+    /// Handles a message from another member.
+    pub(crate) fn on_message(&mut self, now: Now, message: GroupMessage, audit: &mut Vec<Change>) {
+        if self.participates() {
             self.handle(now, GroupEvent::Received(message), audit);
         }
     }
 
-    /// Whether the engine hosts ranks.
+    /// Returns whether this agent takes part in the group's protocol, which it does once its
+    /// engine has reported ranks.
     ///
-    /// An engine that steps by itself takes no orders. Its agent's campaigns would fail for ever,
-    /// and one would see idle agents that keep the links of their group busy.
-    fn takes_part(&self) -> bool {
-        self.running.as_ref().is_some_and(|running| running.hosts_ranks)
+    /// An engine without ranks runs its steps independently and accepts no orders. Its agent's
+    /// campaigns to become coordinator would fail forever and keep the group's links busy.
+    fn participates(&self) -> bool {
+        self.active.as_ref().is_some_and(|active| active.hosts_ranks)
     }
 
-    /// Load that another member reports to this one.
-    pub(crate) fn load(&mut self, now: Now, load: RankLoad) {
-        if let Some(balancer) = self.running.as_mut().and_then(|one| one.balancer.as_mut()) {
-            balancer.take(now, load);
+    /// Handles a load report, which goes to the balancer.
+    pub(crate) fn on_load_report(&mut self, now: Now, load: RankLoad) {
+        if let Some(balancer) = self.active.as_mut().and_then(|one| one.balancer.as_mut()) {
+            balancer.add_load(now, load);
         }
     }
 
-    /// Time has passed.
+    /// Advances the clock: maintains links and runs what is due.
     pub(crate) fn tick(&mut self, now: Now, audit: &mut Vec<Change>) {
-        if !self.takes_part() {
+        if !self.participates() {
             return;
         }
         self.peers.tick(now);
         self.handle(now, GroupEvent::Tick, audit);
-        let news = self.running.as_mut().and_then(|running| running.loading.tick(now));
-        if let Some(event) = news {
+        let event = self.active.as_mut().and_then(|active| active.load_pacer.tick(now));
+        if let Some(event) = event {
             self.handle(now, event, audit);
         }
-        if let Some(running) = &mut self.running
-            && let Some(balancer) = &mut running.balancer
+        if let Some(active) = &mut self.active
+            && let Some(balancer) = &mut active.balancer
         {
-            balancer.begin(now, &running.member);
+            balancer.start_decision(now, &active.member);
         }
     }
 
-    /// Proposes the map that a decision asks for, unless the group has changed meanwhile.
-    fn decided(&mut self, now: Now, decision: Decision, audit: &mut Vec<Change>) {
-        let balancer = self.running.as_mut().and_then(|running| running.balancer.as_mut());
-        let proposal = balancer.and_then(|balancer| balancer.end(decision));
+    /// Proposes the map that a decision calls for, unless the group has changed in the meantime.
+    fn on_decision(&mut self, now: Now, decision: Decision, audit: &mut Vec<Change>) {
+        let balancer = self.active.as_mut().and_then(|active| active.balancer.as_mut());
+        let proposal = balancer.and_then(|balancer| balancer.finish_decision(decision));
         if let Some(map) = proposal {
             self.handle(now, GroupEvent::Propose(map), audit);
         }
     }
 
-    /// The engine answered or reported.
-    pub(crate) fn on_engine(&mut self, now: Now, event: EngineEvent, audit: &mut Vec<Change>) {
+    /// Handles an event from the engine.
+    pub(crate) fn on_engine_event(
+        &mut self,
+        now: Now,
+        event: EngineEvent,
+        audit: &mut Vec<Change>,
+    ) {
         match event {
             EngineEvent::Answered { id, state } => {
                 self.handle(now, GroupEvent::EngineAnswered { id, state }, audit);
@@ -205,95 +226,101 @@
             }
             EngineEvent::MapRead { id, map } => {
                 self.handle(now, GroupEvent::EngineMapRead(map), audit);
-                // A reading tells nothing of the engine's state. Unless its order is settled, the
-                // core takes the engine for busy and passes no grants on: the group stands still.
+                // The content of a map does not include the engine's state, so the order is
+                // completed by reporting it as failed. While an order is pending, the core
+                // considers the engine busy and forwards no grants, and the group would stall.
                 self.handle(now, GroupEvent::EngineFailed { id }, audit);
             }
             EngineEvent::Ranks(report) => self.on_ranks(now, report, audit),
-            EngineEvent::Load(load) => self.pass_on_load(now, load),
-            EngineEvent::Decided(decision) => self.decided(now, *decision, audit),
+            EngineEvent::Load(load) => self.forward_load(now, load),
+            EngineEvent::Decided(decision) => self.on_decision(now, *decision, audit),
         }
     }
 
+    /// Handles a report on the engine's ranks, and passes on what changed since the previous one.
     fn on_ranks(&mut self, now: Now, report: RanksReport, audit: &mut Vec<Change>) {
-        if let Some(running) = &mut self.running {
-            running.hosts_ranks = true;
+        if let Some(active) = &mut self.active {
+            active.hosts_ranks = true;
         }
         for step in report.steps {
             self.handle(now, GroupEvent::EngineReported(step), audit);
         }
-        let Some(running) = &mut self.running else { return };
-        let before = std::mem::replace(&mut running.resident, report.resident.clone());
-        let failed_before = std::mem::replace(&mut running.stage_failed, report.stage_failed);
-        for map in report.resident.into_iter().filter(|map| !before.contains(map)) {
-            self.staged(now, map, audit);
+        let Some(active) = &mut self.active else { return };
+        let previous = std::mem::replace(&mut active.resident, report.resident.clone());
+        let previous_failure = std::mem::replace(&mut active.stage_failed, report.stage_failed);
+        for map in report.resident.into_iter().filter(|map| !previous.contains(map)) {
+            self.on_staged(now, map, audit);
         }
         if let Some(map) = report.stage_failed
-            && failed_before != Some(map)
+            && previous_failure != Some(map)
         {
-            self.stage_failed(now, map, audit);
+            self.on_stage_failed(now, map, audit);
         }
     }
 
-    fn staged(&mut self, now: Now, map: MapRef, audit: &mut Vec<Change>) {
-        let Some(running) = &mut self.running else { return };
-        running.loading.staged(map);
+    fn on_staged(&mut self, now: Now, map: MapRef, audit: &mut Vec<Change>) {
+        let Some(active) = &mut self.active else { return };
+        active.load_pacer.on_staged(map);
         self.handle(now, GroupEvent::EngineStaged(map), audit);
     }
 
-    fn stage_failed(&mut self, now: Now, map: MapRef, audit: &mut Vec<Change>) {
-        let Some(running) = &mut self.running else { return };
-        let event = running.loading.failed(now, map);
+    fn on_stage_failed(&mut self, now: Now, map: MapRef, audit: &mut Vec<Change>) {
+        let Some(active) = &mut self.active else { return };
+        let event = active.load_pacer.on_stage_failed(now, map);
         self.handle(now, event, audit);
     }
 
-    /// Gives the engine an order, or keeps a load back until the weight store's rate allows it.
-    fn order(&mut self, now: Now, order: FencedOrder) -> Option<GroupEvent> {
-        let running = self.running.as_mut()?;
+    /// Sends an order to the engine, unless it is a load that exceeds the agent's share of the
+    /// weight store's bandwidth. In that case it returns an event to pass to the member.
+    fn send_order(&mut self, now: Now, order: FencedOrder) -> Option<GroupEvent> {
+        let active = self.active.as_mut()?;
         let EngineOrder::Stage { map } = &order.order else {
-            running.engine.order(order);
+            active.engine.enqueue_order(order);
             return None;
         };
         let reference = map.reference();
-        let event = match running.loading.ask(now, &running.member, map) {
+        let event = match active.load_pacer.check_order(now, &active.member, map) {
             StageVerdict::Give => {
-                running.engine.order(order);
+                active.engine.enqueue_order(order);
                 return None;
             }
             StageVerdict::Hold => GroupEvent::EngineStageHeld(reference),
             StageVerdict::Refuse => GroupEvent::EngineStageFailed(reference),
         };
-        running.engine.withhold(order.id);
+        active.engine.enqueue_failure(order.id);
         Some(event)
     }
 
-    /// Load goes to the coordinator, wherever it is.
-    fn pass_on_load(&mut self, now: Now, load: RankLoad) {
-        let Some(running) = &mut self.running else { return };
-        let Some(coordinator) = running.member.coordinator().cloned() else { return };
-        if coordinator == self.ground.own {
-            self.load(now, load);
+    /// Sends the load of the local engine to the coordinator, which may be this agent.
+    fn forward_load(&mut self, now: Now, load: RankLoad) {
+        let Some(active) = &mut self.active else { return };
+        let Some(coordinator) = active.member.coordinator().cloned() else { return };
+        if coordinator == self.context.own_server {
+            self.on_load_report(now, load);
         } else {
             self.peers.send(now, &coordinator, Frame::RankLoad(Box::new(load)));
         }
     }
 
+    /// Passes an event to the member and executes its actions, including those that follow from the
+    /// events that actions cause.
     fn handle(&mut self, now: Now, event: GroupEvent, audit: &mut Vec<Change>) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
-            let Some(running) = &mut self.running else { return };
+            let Some(active) = &mut self.active else { return };
             let mut actions = Vec::new();
-            running.member.handle(now, event, &mut actions);
+            active.member.handle(now, event, &mut actions);
             for action in actions {
-                events.extend(self.act(now, action, audit));
+                events.extend(self.execute(now, action, audit));
             }
         }
     }
 
-    /// Carries out an action; gives what the member has to learn after all of its actions.
+    /// Executes an action. Returns an event to pass to the member after its other actions.
     ///
-    /// Told in between, it might give orders that overtake those it has given before.
-    fn act(
+    /// If the member received the event earlier, its new orders could overtake orders that it has
+    /// already issued.
+    fn execute(
         &mut self,
         now: Now,
         action: GroupAction,
@@ -303,37 +330,38 @@
             GroupAction::Send { to, message } => {
                 self.peers.send(now, &to, Frame::Group(Box::new(message)));
             }
-            GroupAction::Order(order) => return self.order(now, order),
+            GroupAction::Order(order) => return self.send_order(now, order),
             GroupAction::Alarm(violation) => {
                 log::error!(target: "group", violation = violation.to_string().as_str(); "halted");
                 audit.push(Change::InvariantViolated { detail: violation.to_string() });
             }
-            GroupAction::Audit(record) => self.record(now, record, audit),
+            GroupAction::Audit(record) => self.on_record(now, record, audit),
         }
         None
     }
 
-    fn record(&mut self, now: Now, record: GroupRecord, audit: &mut Vec<Change>) {
-        let Some(running) = &mut self.running else { return };
+    /// Logs a record, and reports the outcome of a proposal to the balancer and the audit trail.
+    fn on_record(&mut self, now: Now, record: GroupRecord, audit: &mut Vec<Change>) {
+        let Some(active) = &mut self.active else { return };
         let text = format!("{record:?}");
-        log::info!(target: "group", group = running.group.id.as_str(), record = text.as_str(); "");
-        let Some(balancer) = &mut running.balancer else { return };
+        log::info!(target: "group", group = active.group.id.as_str(), record = text.as_str(); "");
+        let Some(balancer) = &mut active.balancer else { return };
         match record {
             GroupRecord::ChangeCommitted { map, from_step } => {
                 let outcome = ChangeOutcome::Adopted { first_step: from_step };
-                let reason = balancer.settle(now, outcome).map_or_else(
+                let reason = balancer.record_outcome(now, outcome).map_or_else(
                     || "first map".to_owned(),
                     |change| format!("{:?}", change.prediction),
                 );
-                let before = running.last_map.map_or(0, |map| map.version);
-                running.last_map = Some(map);
-                let group = running.group.id.clone();
+                let before = active.last_committed_map.map_or(0, |map| map.version);
+                active.last_committed_map = Some(map);
+                let group = active.group.id.clone();
                 audit.push(Change::MapChanged { group, before, after: map.version, reason });
             }
             GroupRecord::ChangeAbandoned { .. }
             | GroupRecord::ProposalRefused { .. }
             | GroupRecord::Deposed { .. } => {
-                balancer.settle(now, ChangeOutcome::Abandoned);
+                balancer.record_outcome(now, ChangeOutcome::Abandoned);
             }
             _ => {}
         }
--- a/crates/agent/src/group/mod.rs
+++ b/crates/agent/src/group/mod.rs
@@ -1,11 +1,15 @@
-//! The agent's part in a model group: one expert map in every step, moved when it pays.
+//! The agent's membership in a model group.
 //!
-//! - [`Group`] turns links, the engine and the document into events for
-//!   `hickorycross_core::group` and carries out its actions.
-//! - `peers` keeps links to the agents of the other members.
-//! - `engine` gives orders and reads the engine's state and load.
-//! - `loading` keeps loads within the agent's share of the weight store.
-//! - `balance` lets the coordinator decide when to propose another map.
+//! The engines of a group run each step together and must all use the same expert map in it. The
+//! agents of the group agree on that map, and change it when a better balance of the load is worth
+//! the cost of loading experts.
+//!
+//! - [`Group`] turns messages of other members, engine events and documents into events for
+//!   `hickorycross_core::group` and executes its actions.
+//! - `peers` maintains links to the agents of the other members.
+//! - `engine` sends orders to the engine and polls its state and load.
+//! - `loading` limits the engine's loads to the agent's share of the weight store's bandwidth.
+//! - `balance` decides, on the coordinator, when to propose another map.
 
 mod balance;
 mod engine;
@@ -14,4 +18,4 @@
 mod peers;
 
 pub(crate) use engine::EngineEvent;
-pub(crate) use member::{Ground, Group};
+pub(crate) use member::{Group, GroupContext};
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,8 +1,13 @@
-//! The hickorycross agent: one small process beside each backend server.
+//! The hickorycross agent: a small process that runs beside each backend server.
 //!
-//! - [`Settings`] is its settings file, [`command_line`] its flags.
-//! - [`Agent`] is a running agent: it turns links, the backend server's answers and the platform
-//!   into events for `hickorycross_core::agent` and carries out its actions.
+//! Entries send their requests to the agent over links. The agent queues the requests, forwards
+//! them to its backend server over loopback and streams the responses back.
+//!
+//! - [`Settings`] is the settings file, [`command_line`] defines the commands and flags.
+//! - [`Agent`] is a running agent. Its driver turns link frames, responses of the backend server
+//!   and updates from the platform into events for `hickorycross_core::agent`, which holds the
+//!   decision logic, and executes the resulting actions.
+//! - [`metric_names`] lists the exported metrics.
 
 mod backend;
 mod cli;
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts the agent.
+//! Entry point of the `hickorycross-agent` binary.
 
 use std::process::ExitCode;
 
--- a/crates/agent/src/on_platform.rs
+++ b/crates/agent/src/on_platform.rs
@@ -1,4 +1,5 @@
-//! The command that runs an agent on the users' platform.
+//! The `on-platform` command, which runs an agent beside a rank of a model group on the users'
+//! platform.
 
 use clap::Command;
 use hickorycross_platform::{Ranks, SettingsFile};
@@ -6,7 +7,7 @@
 use std::rc::Rc;
 use tokio::task::LocalSet;
 
-/// The command's name and help.
+/// Returns the definition of the command.
 pub(crate) fn command() -> Command {
     Command::new("on-platform").about(
         "Run on the users' platform, which names the settings file in the environment, beside a \
@@ -14,12 +15,12 @@
     )
 }
 
-/// Runs until the platform asks to stop.
+/// Runs the agent until the platform asks it to stop.
 pub(crate) fn run() -> miette::Result<()> {
     let mut file = SettingsFile::of_environment()?;
     let settings = file.read()?;
     let ranks = Rc::new(Ranks::new().into_diagnostic()?);
-    // A machine gives a part of one core: further threads would only take turns.
+    // The instance provides only a share of one CPU core, so more threads gain nothing.
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().into_diagnostic()?;
     let running = hickorycross_direct::run_agent(settings, ranks, Box::new(file));
--- a/crates/agent/src/program.rs
+++ b/crates/agent/src/program.rs
@@ -1,8 +1,8 @@
-//! Starts an agent and stops it.
+//! Start and shutdown of an agent.
 
-use crate::backend::Backend;
-use crate::driver::{Driver, Inputs, Parts};
-use crate::group::{Ground, Group};
+use crate::backend::BackendClient;
+use crate::driver::{Driver, DriverInputs, DriverParts};
+use crate::group::{Group, GroupContext};
 use crate::settings::Settings;
 use hickorycross_core::agent::{AgentCore, AgentIdentity};
 use hickorycross_core::{Incarnation, LinkId};
@@ -23,33 +23,33 @@
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::sync::{oneshot, watch};
 
-/// Why an agent does not start.
+/// An error that prevents an agent from starting.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum StartError {
-    /// Another agent runs on this instance.
+    /// The guard address is in use: another agent runs on this instance.
     #[error("{guard_address} is held: another agent runs on this instance ({cause})")]
     #[diagnostic(help("stop the other agent, or wait until it has drained"))]
-    Guarded {
-        /// The guard's address.
+    GuardAddressInUse {
+        /// The guard address.
         guard_address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
-    /// The address for links cannot be bound.
+    /// The link address cannot be bound.
     #[error("cannot accept links on {link_address}: {cause}")]
     Listen {
         /// The address.
         link_address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
-    /// The keys of links cannot be used.
+    /// The TLS keys of links cannot be loaded or used.
     #[error(transparent)]
     Security(#[from] SecurityError),
-    /// The operators' server does not start.
+    /// The HTTP server for operators does not start.
     #[error(transparent)]
     Serve(#[from] ServeError),
-    /// The HTTP client does not start.
+    /// The HTTP client for the backend server cannot be created.
     #[error("no HTTP client: {0}")]
     Client(#[from] reqwest::Error),
 }
@@ -64,13 +64,13 @@
     _renewal: Renewal,
 }
 
-/// Gives renewed keys to an agent, which opens links and accepts them.
-struct LinksOfAgent {
+/// Installs renewed TLS keys for the links that an agent opens and for those that it accepts.
+struct LinkKeyUpdater {
     links: Links,
     listener: Arc<Listener>,
 }
 
-impl UseKeys for LinksOfAgent {
+impl UseKeys for LinkKeyUpdater {
     fn use_keys(&self, keys: LinkKeys) {
         self.links.renew(keys);
         self.listener.renew();
@@ -78,13 +78,14 @@
 }
 
 impl Agent {
-    /// Starts an agent; it runs until [`Agent::drain`] or until it is dropped with its runtime.
+    /// Starts an agent. It runs until [`Agent::drain`] is called or its runtime is shut down.
     ///
     /// # Errors
     ///
-    /// When an address is taken or the keys cannot be used.
+    /// Returns an error when an address cannot be bound, the keys cannot be used, or the HTTP
+    /// client cannot be created.
     pub async fn start(settings: &Settings, exposition: Exposition) -> Result<Self, StartError> {
-        let guard = hold_guard(settings.guard_address)?;
+        let guard = bind_guard(settings.guard_address)?;
         let clock = SteadyClock::start();
         let incarnation = Incarnation(rand::random());
         let role = PeerRole::Agent { backend_server: settings.backend_server.clone() };
@@ -98,7 +99,7 @@
         let listener = Arc::new(listener);
         let renewal = renewal::follow(
             &settings.link_security,
-            Box::new(LinksOfAgent { links: links.clone(), listener: listener.clone() }),
+            Box::new(LinkKeyUpdater { links: links.clone(), listener: listener.clone() }),
             Surroundings { trail: trail.clone(), inspect: view.clone(), clock },
         );
         let link_address = listener.address().unwrap_or(settings.link_address);
@@ -108,12 +109,12 @@
         let (platform_events, platform) = unbounded_channel();
         let (follow, mode) = watch::channel(Follow::Watch);
         platform::follow(&settings.platform_url, mode, platform_events);
-        let backend = Backend::new(&settings.backend_url, &settings.health_path, clock)?;
+        let backend = BackendClient::new(&settings.backend_url, &settings.health_path, clock)?;
         let identity =
             AgentIdentity { incarnation, backend_server: settings.backend_server.clone() };
         let (engine_events, engine) = unbounded_channel();
-        let ground = Ground {
-            own: settings.backend_server.clone(),
+        let group_context = GroupContext {
+            own_server: settings.backend_server.clone(),
             incarnation,
             backend_url: settings.backend_url.clone(),
             events: engine_events,
@@ -126,19 +127,19 @@
             trail: trail.clone(),
             follow,
         });
-        let (driver, backend_events) = Driver::new(Parts {
-            group: Group::new(ground, links.clone()),
+        let (driver, backend_events) = Driver::new(DriverParts {
+            group: Group::new(group_context, links.clone()),
             core: AgentCore::new(identity, rand::random()),
             follower,
-            own: settings.instance.clone(),
+            instance: settings.instance.clone(),
             links,
             backend,
             view,
             trail,
             clock,
         });
-        let (drain, drain_asked) = oneshot::channel();
-        let inputs = Inputs { links: link_events, platform, engine, drain: drain_asked };
+        let (drain, drain_requested) = oneshot::channel();
+        let inputs = DriverInputs { links: link_events, platform, engine, drain: drain_requested };
         let driver = tokio::spawn(async move {
             driver.run(inputs, backend_events).await;
             listener.close();
@@ -153,13 +154,14 @@
         })
     }
 
-    /// Where it accepts links.
+    /// Returns the address on which the agent accepts links.
     #[must_use]
     pub fn link_address(&self) -> SocketAddr {
         self.link_address
     }
 
-    /// Takes no new work, finishes what runs, and stops.
+    /// Shuts the agent down gracefully: refuses new requests and waits until running ones have
+    /// finished.
     pub async fn drain(mut self) {
         if let Some(drain) = self.drain.take() {
             let _ = drain.send(());
@@ -169,11 +171,13 @@
     }
 }
 
-/// Holds the guard's port for the agent's lifetime.
+/// Binds the guard address, which makes sure that only one agent runs on an instance.
 ///
-/// Two agents beside one backend server would each believe that they alone give it orders and
-/// count its slots: one would see groups step on two maps, and more requests running than slots.
-/// Two processes can't hold one port, and the system frees it when its holder dies.
-fn hold_guard(guard_address: SocketAddr) -> Result<TcpListener, StartError> {
-    TcpListener::bind(guard_address).map_err(|cause| StartError::Guarded { guard_address, cause })
+/// Two agents beside one backend server would each act as the only one that sends it orders and
+/// counts its slots. Its group could then run steps on two maps, and more requests could run than
+/// there are slots. Only one process can bind the port, and the operating system releases it when
+/// that process dies.
+fn bind_guard(guard_address: SocketAddr) -> Result<TcpListener, StartError> {
+    TcpListener::bind(guard_address)
+        .map_err(|cause| StartError::GuardAddressInUse { guard_address, cause })
 }
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an agent.
+//! Settings of an agent, read from a file, the environment and flags.
 
 use hickorycross_config::{BackendServerId, FailureDomainId};
 use hickorycross_core::InstanceId;
@@ -8,33 +8,33 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What an agent must know before it starts.
+/// The settings of an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Its instance in the platform's list.
+    /// The agent's instance in the platform's list.
     pub instance: InstanceId,
-    /// Where it stands.
+    /// Failure domain of the instance.
     pub failure_domain: FailureDomainId,
-    /// The backend server of the document beside which it stands.
+    /// The backend server beside which the agent runs, as named in the configuration document.
     pub backend_server: BackendServerId,
-    /// Where it accepts links.
+    /// Address on which the agent accepts links.
     pub link_address: SocketAddr,
-    /// Where operators reach it.
+    /// Address of the HTTP server for operators.
     pub operator_address: SocketAddr,
-    /// A loopback address that is held for the agent's lifetime, so that a second agent on this
-    /// instance does not start.
+    /// A loopback address that the agent keeps bound while it runs, so that a second agent cannot
+    /// start on this instance.
     pub guard_address: SocketAddr,
-    /// Base address of the backend server.
+    /// Base URL of the backend server.
     pub backend_url: String,
-    /// Path that answers 200 while the backend server is well.
+    /// Path of the health check, which answers 200 while the backend server is healthy.
     #[serde(default = "default_health_path")]
     pub health_path: String,
-    /// Base address of the platform's services.
+    /// Base URL of the platform's services.
     pub platform_url: String,
-    /// How links are secured.
+    /// Security of links: mutual TLS, or none for development.
     pub link_security: LinkSecurity,
-    /// Log levels, in the form of `RUST_LOG`.
+    /// Log filter, in the format of `RUST_LOG`.
     #[serde(default = "default_log_filter")]
     pub log_filter: String,
 }
