--- a/crates/protocol/src/offer.rs
+++ b/crates/protocol/src/offer.rs
@@ -68,7 +68,7 @@
 
 impl OfferCache {
     /// The offer of a document.
-    pub fn offer(&mut self, stamp: Stamp, document: &[u8]) -> ConfigOffer {
+    pub fn get_or_compress(&mut self, stamp: Stamp, document: &[u8]) -> ConfigOffer {
         match &self.held {
             Some(held) if held.stamp == stamp => held.clone(),
             _ => self.held.insert(ConfigOffer::new(stamp, document)).clone(),
--- a/crates/protocol/tests/offers.rs
+++ b/crates/protocol/tests/offers.rs
@@ -68,7 +68,7 @@
 fn the_cache_follows_the_stamp() {
     let mut cache = OfferCache::default();
     let next = Stamp { revision: 8, ..STAMP };
-    expect_that!(cache.offer(STAMP, b"first").document(), ok(eq(b"first")));
-    expect_that!(cache.offer(next, b"second").document(), ok(eq(b"second")));
-    expect_that!(cache.offer(next, b"second").stamp, eq(next));
+    expect_that!(cache.get_or_compress(STAMP, b"first").document(), ok(eq(b"first")));
+    expect_that!(cache.get_or_compress(next, b"second").document(), ok(eq(b"second")));
+    expect_that!(cache.get_or_compress(next, b"second").stamp, eq(next));
 }
--- a/crates/runtime/src/follower.rs
+++ b/crates/runtime/src/follower.rs
@@ -247,7 +247,7 @@
                     self.parts.links.send(link, Frame::ConfigRequest);
                 }
                 ExchangeAction::Offer { link, stamp, bytes } => {
-                    let offer = self.offers.offer(stamp, &bytes);
+                    let offer = self.offers.get_or_compress(stamp, &bytes);
                     self.parts.links.send(link, Frame::ConfigOffer(offer));
                 }
                 ExchangeAction::Audit(record) => self.parts.trail.write(record),
