--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -1,39 +1,40 @@
-//! Frames to bytes and back.
+//! Encoding and decoding of frames.
 
 use crate::frame::Frame;
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// Bytes of the length before each frame.
+/// Size in bytes of the length prefix of each frame.
 pub const LENGTH_BYTES: usize = 4;
 
-/// Longest frame that is sent or accepted, without its length.
+/// Maximum size in bytes of a frame that is sent or accepted, without its length prefix.
 pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
 
-/// Why bytes are not a frame, or a frame cannot be sent.
+/// An error in encoding or decoding a frame.
 #[derive(Debug, thiserror::Error)]
 pub enum CodecError {
-    /// Longer than [`MAX_FRAME_BYTES`].
+    /// The frame is longer than [`MAX_FRAME_BYTES`].
     #[error("a frame of {found} bytes exceeds {MAX_FRAME_BYTES} bytes")]
     TooLong {
-        /// Its length.
+        /// Length of the frame in bytes, without its prefix.
         found: usize,
     },
-    /// Not a frame of this version.
+    /// The bytes are not a frame of this protocol version, or the frame cannot be serialized.
     #[error("not a frame: {0}")]
     Malformed(#[from] postcard::Error),
-    /// More bytes than the frame takes.
+    /// Bytes remain after the end of the frame.
     #[error("{count} bytes follow the frame")]
     Trailing {
-        /// How many.
+        /// Number of remaining bytes.
         count: usize,
     },
 }
 
-/// Writes a frame with its length in front.
+/// Encodes a frame, with its length prefix.
 ///
 /// # Errors
 ///
-/// [`CodecError::TooLong`] when it exceeds [`MAX_FRAME_BYTES`].
+/// [`CodecError::TooLong`] if the frame exceeds [`MAX_FRAME_BYTES`], [`CodecError::Malformed`] if
+/// it cannot be serialized.
 pub fn encode(frame: &Frame) -> Result<Bytes, CodecError> {
     let body = postcard::to_stdvec(frame)?;
     let length = checked_length(body.len())?;
@@ -43,28 +44,29 @@
     Ok(bytes.freeze())
 }
 
-/// Reads a frame's length, as it stands before the frame.
+/// Decodes the length prefix of a frame.
 ///
 /// # Errors
 ///
-/// [`CodecError::TooLong`] when it exceeds [`MAX_FRAME_BYTES`]: the sender is broken or hostile,
-/// and making room for the frame could exhaust memory.
+/// [`CodecError::TooLong`] if the length exceeds [`MAX_FRAME_BYTES`]. The sender is then faulty or
+/// malicious, and allocating a buffer for the frame could exhaust memory.
 pub fn body_length(prefix: [u8; LENGTH_BYTES]) -> Result<usize, CodecError> {
     let length = u32::from_le_bytes(prefix) as usize;
     checked_length(length)?;
     Ok(length)
 }
 
-/// Reads a frame, without its length.
+/// Decodes a frame from its bytes, without the length prefix.
 ///
 /// # Errors
 ///
-/// When the bytes are not exactly one frame.
+/// Returns an error if the bytes are not exactly one frame.
 pub fn decode(body: &[u8]) -> Result<Frame, CodecError> {
     let (frame, rest) = postcard::take_from_bytes(body)?;
     if rest.is_empty() { Ok(frame) } else { Err(CodecError::Trailing { count: rest.len() }) }
 }
 
+/// Checks a length against [`MAX_FRAME_BYTES`] and converts it to the type of the prefix.
 fn checked_length(length: usize) -> Result<u32, CodecError> {
     let fits = length <= MAX_FRAME_BYTES;
     u32::try_from(length).ok().filter(|_| fits).ok_or(CodecError::TooLong { found: length })
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -1,4 +1,4 @@
-//! The frames of a link.
+//! The frames that are sent over a link.
 
 use crate::offer::ConfigOffer;
 use crate::version::VersionRange;
@@ -9,12 +9,12 @@
 use hickorycross_core::{AttemptId, Incarnation, InstanceId};
 use serde::{Deserialize, Serialize};
 
-/// What a process is, as it says of itself. Its certificate must agree.
+/// The role that a process claims. Its certificate must confirm the role.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRole {
-    /// An entry.
+    /// An entry, which accepts requests from callers.
     Entry,
-    /// The agent beside a backend server.
+    /// The agent that runs beside a backend server.
     Agent {
         /// The backend server.
         backend_server: BackendServerId,
@@ -23,44 +23,46 @@
 
 /// The first frame in each direction of a control stream.
 ///
-/// It stays as it is in every later version; new fields go into new frames.
+/// It is sent before a version is agreed on, so its encoding must not change in later versions. New
+/// fields go into new frames.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Versions that the sender speaks.
+    /// Protocol versions that the sender supports.
     pub versions: VersionRange,
     /// The sender's instance.
     pub instance: InstanceId,
     /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// What the sender is.
+    /// The sender's role.
     pub role: PeerRole,
-    /// What the sender has adopted.
+    /// Stamp of the configuration document that the sender has adopted.
     pub stamp: Stamp,
 }
 
-/// One frame.
+/// A frame, the unit of transfer on every stream of a link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Who the sender is.
+    /// Introduces the sender and its supported versions.
     Hello(Hello),
-    /// From an entry to an agent.
+    /// A message from an entry to an agent.
     ToAgent(ToAgent),
-    /// From an agent to an entry.
+    /// A message from an agent to an entry.
     ToEntry(ToEntry),
-    /// The sender has adopted this; whoever is behind asks for it.
+    /// The sender has adopted the document with this stamp. A receiver with an older document
+    /// requests it.
     Announce(Stamp),
-    /// The sender is behind and asks for the document that the receiver holds.
+    /// Requests the receiver's configuration document.
     ConfigRequest,
-    /// The document that the sender holds.
+    /// The sender's configuration document.
     ConfigOffer(ConfigOffer),
-    /// Between the agents of one model group.
+    /// A message between two agents of the same model group.
     Group(Box<GroupMessage>),
-    /// From an agent of a model group to the one that coordinates it.
+    /// Load of an engine's ranks, sent by its agent to the agent that coordinates the model group.
     RankLoad(Box<RankLoad>),
 }
 
 impl Frame {
-    /// The attempt whose stream carries this frame; none for the control stream.
+    /// Returns the attempt on whose stream this frame is sent, or `None` for the control stream.
     #[must_use]
     pub fn attempt(&self) -> Option<AttemptId> {
         match self {
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Whether this frame begins a stream for its attempt if there is none.
+    /// Returns whether this frame opens a stream for its attempt if there is none yet.
     #[must_use]
     pub const fn opens_stream(&self) -> bool {
         matches!(
@@ -79,7 +81,7 @@
         )
     }
 
-    /// Whether nothing follows this frame on the stream of its attempt.
+    /// Returns whether this is the last frame on the stream of its attempt.
     #[must_use]
     pub const fn ends_stream(&self) -> bool {
         matches!(
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,9 +1,12 @@
-//! What hickorycross processes say to each other, and how it is written on a link.
+//! The protocol between hickorycross processes: frames, their encoding and version negotiation.
 //!
 //! A link is one QUIC connection. Its first stream, opened by the process that connects, is the
-//! control stream: both ends say [`Hello`] on it and agree on a version. An attempt has a stream
-//! of its own, so that a slow answer holds back no other. On every stream a frame is a length
-//! ([`LENGTH_BYTES`], little endian) followed by a [`Frame`] in postcard.
+//! control stream: both ends send a [`Hello`] on it and agree on a protocol version. Each attempt
+//! has its own stream, so that a slow response does not block others. On every stream, a frame is
+//! encoded as its length ([`LENGTH_BYTES`] bytes, little endian) followed by the [`Frame`] in
+//! postcard format.
+//!
+//! Configuration documents are sent compressed, as a [`ConfigOffer`].
 //!
 //! ```
 //! use hickorycross_protocol::{Frame, decode, encode};
--- a/crates/protocol/src/version.rs
+++ b/crates/protocol/src/version.rs
@@ -1,10 +1,12 @@
-//! Versions of the protocol. Two processes of neighbouring releases must understand each other,
-//! because an upgrade replaces one process at a time.
+//! Protocol versions and their negotiation.
+//!
+//! Processes of consecutive releases must be able to communicate, because an upgrade replaces one
+//! process at a time.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One version of the protocol.
+/// A protocol version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Version(pub u16);
@@ -15,20 +17,20 @@
     }
 }
 
-/// The versions that a process speaks, both ends included.
+/// The range of versions that a process supports, both bounds inclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRange {
-    /// The lowest.
+    /// Lowest supported version.
     pub lowest: Version,
-    /// The highest.
+    /// Highest supported version.
     pub highest: Version,
 }
 
-/// The versions that this release speaks.
+/// The versions that this release supports.
 pub const SUPPORTED_VERSIONS: VersionRange =
     VersionRange { lowest: Version(1), highest: Version(1) };
 
-/// The highest version that both ends speak, if there is one.
+/// Returns the highest version that both ends support, or `None` if they have none in common.
 #[must_use]
 pub fn negotiate(ours: VersionRange, theirs: VersionRange) -> Option<Version> {
     let highest = ours.highest.min(theirs.highest);
--- a/crates/protocol/tests/codec.rs
+++ b/crates/protocol/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Frames survive the codec; foreign bytes are refused.
+//! Tests of the frame encoding and of version negotiation.
 
 use googletest::prelude::*;
 use hickorycross_config::{BackendServerId, Digest, Stamp};
@@ -55,7 +55,7 @@
 }
 
 #[gtest]
-fn frames_survive_the_codec() -> googletest::Result<()> {
+fn frames_are_unchanged_by_a_round_trip() -> googletest::Result<()> {
     for case in round_trips() {
         let bytes = encode(&case.frame).or_fail()?;
         let prefix = bytes[..LENGTH_BYTES].try_into().or_fail()?;
@@ -66,21 +66,19 @@
     Ok(())
 }
 
-// Symptom: an agent uses up its memory within seconds of a connection.
-// Sequence: a broken or hostile process writes a length of four gigabytes; the reader makes room.
-// Cause: a length taken on trust.
+// A faulty or malicious process sends a length prefix of four gigabytes. A reader that allocates a
+// buffer without checking the length exhausts its memory within seconds of a connection.
 #[gtest]
-fn a_length_beyond_the_bound_is_refused() {
+fn a_length_above_the_limit_is_rejected() {
     let too_long = u32::try_from(MAX_FRAME_BYTES).unwrap() + 1;
-    let refused = body_length(too_long.to_le_bytes());
-    expect_that!(refused, err(matches_pattern!(CodecError::TooLong { .. })));
+    let result = body_length(too_long.to_le_bytes());
+    expect_that!(result, err(matches_pattern!(CodecError::TooLong { .. })));
 }
 
-// Symptom: one frame is understood as another.
-// Sequence: two frames are written under one length; the reader takes the first and drops the rest.
-// Cause: bytes after a frame that nobody looks at.
+// Two frames are written under one length prefix. A reader that ignores bytes after the first frame
+// loses the second one and mistakes one frame for another.
 #[gtest]
-fn bytes_after_a_frame_are_refused() -> googletest::Result<()> {
+fn bytes_after_a_frame_are_rejected() -> googletest::Result<()> {
     let bytes = encode(&Frame::Announce(STAMP)).or_fail()?;
     let mut body = bytes[LENGTH_BYTES..].to_vec();
     body.push(0);
--- a/crates/protocol/tests/offers.rs
+++ b/crates/protocol/tests/offers.rs
@@ -1,4 +1,4 @@
-//! Documents as they are passed on.
+//! Tests of compressed configuration documents.
 
 use googletest::prelude::*;
 use hickorycross_config::{Digest, Stamp};
@@ -20,12 +20,12 @@
         Case { name: "empty", document: Vec::new(), expected: Ok(0) },
         Case { name: "noise", document: noise.collect(), expected: Ok(5_000) },
         Case {
-            name: "the longest",
+            name: "maximum size",
             document: vec![b' '; MAX_DOCUMENT_BYTES],
             expected: Ok(MAX_DOCUMENT_BYTES),
         },
         Case {
-            name: "one byte more",
+            name: "one byte above the maximum",
             document: vec![b' '; MAX_DOCUMENT_BYTES + 1],
             expected: Err(OfferError::TooLong),
         },
@@ -33,12 +33,12 @@
 }
 
 #[gtest]
-fn documents_come_back_byte_for_byte() -> googletest::Result<()> {
+fn documents_are_unchanged_by_a_round_trip() -> googletest::Result<()> {
     for case in cases() {
         let frame = Frame::ConfigOffer(ConfigOffer::new(STAMP, &case.document));
         let bytes = encode(&frame).or_fail()?;
         let Frame::ConfigOffer(offer) = decode(&bytes[LENGTH_BYTES..]).or_fail()? else {
-            return fail!("another frame");
+            return fail!("decoded to a different frame");
         };
         let found = offer.document();
         expect_that!(found.as_ref().map(Vec::len), eq(case.expected.as_ref().copied()));
@@ -49,23 +49,23 @@
     Ok(())
 }
 
-/// Symptom: a process is out of memory after a frame of a kilobyte.
-/// Sequence: a peer with a broken memory sends an offer that inflates without end, or noise.
-/// Cause: the length after inflating is not known before.
+/// A peer with faulty memory can send an offer that does not decompress, or one of a kilobyte that
+/// decompresses without end and exhausts the receiver's memory: the decompressed length is not
+/// known in advance.
 #[gtest]
-fn broken_offers_are_refused() -> googletest::Result<()> {
-    let whole = encode(&Frame::ConfigOffer(ConfigOffer::new(STAMP, &[b'x'; 300]))).or_fail()?;
-    let mut broken = whole[LENGTH_BYTES..].to_vec();
-    let last = broken.len() - 1;
-    broken[last - 3..].fill(0xff);
-    if let Ok(Frame::ConfigOffer(offer)) = decode(&broken) {
+fn corrupt_offers_are_rejected() -> googletest::Result<()> {
+    let intact = encode(&Frame::ConfigOffer(ConfigOffer::new(STAMP, &[b'x'; 300]))).or_fail()?;
+    let mut corrupt = intact[LENGTH_BYTES..].to_vec();
+    let last = corrupt.len() - 1;
+    corrupt[last - 3..].fill(0xff);
+    if let Ok(Frame::ConfigOffer(offer)) = decode(&corrupt) {
         expect_that!(offer.document(), err(anything()));
     }
     Ok(())
 }
 
 #[gtest]
-fn the_cache_follows_the_stamp() {
+fn the_cache_returns_the_document_of_the_requested_stamp() {
     let mut cache = OfferCache::default();
     let next = Stamp { revision: 8, ..STAMP };
     expect_that!(cache.get_or_compress(STAMP, b"first").document(), ok(eq(b"first")));
