--- a/crates/agent/src/group/balance.rs
+++ b/crates/agent/src/group/balance.rs
@@ -72,7 +72,10 @@
         let Some(report) = self.collector.add(now, load) else { return };
         let Some(policy) = &mut self.policy else { return };
         if let Err(fault) = policy.observe(&report) {
-            log::debug!(target: "group", fault = fault.to_string().as_str(); "load report rejected");
+            log::debug!(
+                target: "group", fault = fault.to_string().as_str();
+                "load report rejected by the policy"
+            );
         }
     }
 
--- a/crates/agent/tests/command_line.rs
+++ b/crates/agent/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! What the agent's command line answers.
+//! Tests of the agent's command line: exit codes, output and checks of settings.
 
 use googletest::prelude::*;
 use hickorycross_agent::Settings;
@@ -21,32 +21,37 @@
 struct Case {
     name: &'static str,
     arguments: &'static [&'static str],
-    code: i32,
+    exit_code: i32,
     output: &'static str,
 }
 
 const CASES: [Case; 8] = [
-    Case { name: "help", arguments: &["--help"], code: 0, output: "Exit codes" },
-    Case { name: "no command", arguments: &[], code: 2, output: "Usage" },
-    Case { name: "unknown command", arguments: &["walk"], code: 2, output: "unrecognized" },
-    Case { name: "no settings", arguments: &["run"], code: 2, output: "--settings" },
+    Case { name: "help", arguments: &["--help"], exit_code: 0, output: "Exit codes" },
+    Case { name: "no command", arguments: &[], exit_code: 2, output: "Usage" },
+    Case { name: "unknown command", arguments: &["walk"], exit_code: 2, output: "unrecognized" },
+    Case { name: "no settings", arguments: &["run"], exit_code: 2, output: "--settings" },
     Case {
         name: "missing settings file",
         arguments: &["check", "--settings", "no-such-file.json"],
-        code: 2,
+        exit_code: 2,
         output: "cannot read the settings file",
     },
-    Case { name: "completions", arguments: &["completions", "zsh"], code: 0, output: "#compdef" },
     Case {
-        name: "status of nothing",
+        name: "completions",
+        arguments: &["completions", "zsh"],
+        exit_code: 0,
+        output: "#compdef",
+    },
+    Case {
+        name: "status of an unreachable agent",
         arguments: &["status", "http://127.0.0.1:9"],
-        code: 1,
+        exit_code: 1,
         output: "cannot read",
     },
     Case {
-        name: "audit of nothing",
+        name: "audit of an unreachable agent",
         arguments: &["audit", "http://127.0.0.1:9"],
-        code: 1,
+        exit_code: 1,
         output: "cannot read",
     },
 ];
@@ -63,19 +68,19 @@
 }
 
 #[gtest]
-fn answers_are_as_documented() {
+fn exit_codes_and_output_are_as_documented() {
     for case in CASES {
         let output = run(case.arguments);
-        expect_that!(output.status.code(), some(eq(case.code)), "{}", case.name);
+        expect_that!(output.status.code(), some(eq(case.exit_code)), "{}", case.name);
         expect_that!(text_of(output), contains_substring(case.output), "{}", case.name);
     }
 }
 
-/// A settings file that goes with the test.
-struct File(PathBuf);
+/// A temporary settings file, removed when dropped.
+struct TemporaryFile(PathBuf);
 
-impl File {
-    fn make(name: &str, text: &str) -> Self {
+impl TemporaryFile {
+    fn create(name: &str, text: &str) -> Self {
         let name = format!("hickorycross-agent-{name}-{}.json", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::write(&path, text).expect("a file");
@@ -83,23 +88,23 @@
     }
 }
 
-impl Drop for File {
+impl Drop for TemporaryFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
 #[gtest]
-fn settings_are_checked_all_at_once() {
-    let faulty = SETTINGS
+fn check_reports_all_invalid_settings_at_once() {
+    let invalid = SETTINGS
         .replace("127.0.0.1:7402", "10.0.0.1:7402")
         .replace("http://", "https://")
         .replace("\"instance\"", "\"health_path\": \"health\", \"instance\"");
-    let good = File::make("good", SETTINGS);
-    let faulty = File::make("faulty", &faulty);
-    let output = run(&["check", "--settings", &good.0.display().to_string()]);
+    let valid = TemporaryFile::create("valid", SETTINGS);
+    let invalid = TemporaryFile::create("invalid", &invalid);
+    let output = run(&["check", "--settings", &valid.0.display().to_string()]);
     expect_that!(output.status.code(), some(eq(0)), "{}", text_of(output));
-    let output = run(&["check", "--settings", &faulty.0.display().to_string()]);
+    let output = run(&["check", "--settings", &invalid.0.display().to_string()]);
     expect_that!(output.status.code(), some(eq(2)));
     let text = text_of(output);
     for field in ["guard_address", "backend_url", "platform_url", "health_path"] {
@@ -107,18 +112,19 @@
     }
 }
 
-/// The list of fields is the one of the struct, and the page has each.
+/// `Settings::FIELDS` lists the same fields as the struct, and docs/SETTINGS.md documents each.
 #[gtest]
 fn every_field_is_listed_and_documented() {
     let settings: Settings = serde_json::from_str(SETTINGS).expect("settings");
     let value = serde_json::to_value(&settings).expect("JSON");
-    let of_struct: Vec<_> = value.as_object().expect("an object").keys().cloned().collect();
-    let mut of_list: Vec<_> = Settings::FIELDS.iter().map(|field| field.name.to_owned()).collect();
-    of_list.sort();
-    expect_that!(of_list, eq(&of_struct));
+    let struct_fields: Vec<_> = value.as_object().expect("an object").keys().cloned().collect();
+    let mut listed_fields: Vec<_> =
+        Settings::FIELDS.iter().map(|field| field.name.to_owned()).collect();
+    listed_fields.sort();
+    expect_that!(listed_fields, eq(&struct_fields));
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/SETTINGS.md");
     let page = std::fs::read_to_string(page).expect("the page");
-    for field in of_list {
+    for field in listed_fields {
         expect_that!(page, contains_substring(format!("| `{field}` |")));
     }
 }
