--- a/crates/agent/src/backend.rs
+++ b/crates/agent/src/backend.rs
@@ -20,7 +20,7 @@
 const PRIORITY_HEADER: &str = "x-hickorycross-priority";
 /// Timeout for connecting over loopback.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Timeout for a health check, response included.
+/// Timeout for a health check, including the connection.
 const HEALTH_TIMEOUT: Duration = Duration::from_secs(2);
 /// Headers that belong to one connection and are not forwarded in either direction.
 const HOP_BY_HOP: [&str; 9] = [
