--- a/crates/agent/src/cli.rs
+++ b/crates/agent/src/cli.rs
@@ -46,7 +46,7 @@
 pub fn run(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     let matches = match command_line().try_get_matches_from(arguments) {
         Ok(matches) => matches,
-        Err(error) => return command::conclude_parsing(&error),
+        Err(error) => return command::report_parse_error(&error),
     };
     let done = match matches.subcommand() {
         Some(("run", matches)) => command::load_settings(matches)
@@ -59,7 +59,7 @@
         Some(("completions", matches)) => command::completions(matches, command_line()),
         _ => Ok(()),
     };
-    command::conclude(done)
+    command::report_result(done)
 }
 
 fn run_agent(settings: &Settings) -> miette::Result<()> {
--- a/crates/agent/src/driver.rs
+++ b/crates/agent/src/driver.rs
@@ -10,12 +10,12 @@
 use hickorycross_core::{AttemptId, InstanceId, LinkId, Verdict};
 use hickorycross_protocol::{Frame, Hello, PeerRole};
 use hickorycross_runtime::clock::SteadyClock;
-use hickorycross_runtime::follower::{ConfigFollower, Followed};
+use hickorycross_runtime::follower::{ConfigFollower, ConfigUpdate};
 use hickorycross_runtime::link::{LinkEvent, Links};
-use hickorycross_runtime::operators::Inspect;
+use hickorycross_runtime::operators::StatusSource;
 use hickorycross_runtime::platform::PlatformEvent;
 use hickorycross_runtime::trail::Trail;
-use hickorycross_runtime::view::View;
+use hickorycross_runtime::view::ProcessView;
 use indexmap::IndexMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -45,7 +45,7 @@
     pub(crate) own: InstanceId,
     pub(crate) links: Links,
     pub(crate) backend: Backend,
-    pub(crate) view: Arc<View>,
+    pub(crate) view: Arc<ProcessView>,
     pub(crate) trail: Arc<Trail>,
     pub(crate) clock: SteadyClock,
 }
@@ -108,8 +108,8 @@
         self.handle(AgentEvent::Tick);
         let now = self.parts.clock.now();
         self.with_group(|group, audit| group.tick(now, audit));
-        let followed = self.parts.follower.tick(now);
-        self.follow(followed);
+        let update = self.parts.follower.tick(now);
+        self.follow(update);
         let ready = self.parts.follower.has_document();
         self.parts.view.update(|status| status.ready = ready);
         self.show();
@@ -199,8 +199,8 @@
                 log::debug!(target: "link", link = link.0, reason = reason.as_str(); "closed");
                 self.parts.group.closed(link);
                 self.agents.swap_remove(&link);
-                let followed = self.parts.follower.closed(self.parts.clock.now(), link);
-                self.follow(followed);
+                let update = self.parts.follower.link_closed(self.parts.clock.now(), link);
+                self.follow(update);
                 self.handle(AgentEvent::LinkClosed { link });
             }
         }
@@ -219,8 +219,8 @@
                 }
             }
         }
-        let followed = self.parts.follower.greeted(now, link, hello.stamp);
-        self.follow(followed);
+        let update = self.parts.follower.receive_hello(now, link, hello.stamp);
+        self.follow(update);
     }
 
     fn on_frame(&mut self, link: LinkId, frame: Frame) {
@@ -235,14 +235,14 @@
             Frame::RankLoad(load) => self.parts.group.load(now, *load),
             Frame::ToAgent(message) => {
                 if let ToAgent::Heartbeat { stamp, .. } = &message {
-                    let followed = self.parts.follower.heard(now, link, *stamp);
-                    self.follow(followed);
+                    let update = self.parts.follower.learn_peer_stamp(now, link, *stamp);
+                    self.follow(update);
                 }
                 self.handle(AgentEvent::Message { link, message });
             }
             other => {
-                let followed = self.parts.follower.frame(now, link, &other);
-                self.follow(followed);
+                let update = self.parts.follower.receive_frame(now, link, &other);
+                self.follow(update);
             }
         }
     }
@@ -251,16 +251,16 @@
         if let PlatformEvent::Instances(instances) = &event {
             self.parts.group.listed(instances);
         }
-        let followed = self.parts.follower.platform(self.parts.clock.now(), &event);
-        self.follow(followed);
+        let update = self.parts.follower.receive_platform_event(self.parts.clock.now(), &event);
+        self.follow(update);
     }
 
     /// Hands an adopted document to the export, the group and the core, then tells the peers. A
     /// rival of it concerns the core only.
-    fn follow(&mut self, followed: Option<Followed>) {
-        let (stamp, document) = match followed {
-            Some(Followed::Adopted { stamp, document }) => (stamp, document),
-            Some(Followed::Rival(document)) => {
+    fn follow(&mut self, update: Option<ConfigUpdate>) {
+        let (stamp, document) = match update {
+            Some(ConfigUpdate::Adopted { stamp, document }) => (stamp, document),
+            Some(ConfigUpdate::Conflict(document)) => {
                 return self.handle(AgentEvent::ConflictingDocument { document });
             }
             None => return,
--- a/crates/agent/src/program.rs
+++ b/crates/agent/src/program.rs
@@ -11,13 +11,13 @@
 use hickorycross_runtime::exposition::Exposition;
 use hickorycross_runtime::follower::{ConfigFollower, FollowerParts};
 use hickorycross_runtime::link::{Links, Listener};
-use hickorycross_runtime::operators::{self, Views};
-use hickorycross_runtime::platform::{self, Follow};
-use hickorycross_runtime::security::renewal::{self, Renewal, Surroundings, UseKeys};
+use hickorycross_runtime::operators::{self, PageSources};
+use hickorycross_runtime::platform::{self, FollowMode};
+use hickorycross_runtime::security::renewal::{self, Renewal, RenewalContext, UseKeys};
 use hickorycross_runtime::security::{LinkKeys, SecurityError};
-use hickorycross_runtime::server::{self, Running, ServeError};
+use hickorycross_runtime::server::{self, RunningServer, ServeError};
 use hickorycross_runtime::trail::Trail;
-use hickorycross_runtime::view::View;
+use hickorycross_runtime::view::ProcessView;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 use tokio::sync::mpsc::unbounded_channel;
@@ -58,7 +58,7 @@
 pub struct Agent {
     driver: tokio::task::JoinHandle<()>,
     drain: Option<oneshot::Sender<()>>,
-    operators: Running,
+    operators: RunningServer,
     link_address: SocketAddr,
     _guard: TcpListener,
     _renewal: Renewal,
@@ -72,8 +72,8 @@
 
 impl UseKeys for LinksOfAgent {
     fn use_keys(&self, keys: LinkKeys) {
-        self.links.renew(keys);
-        self.listener.renew();
+        self.links.replace_keys(keys);
+        self.listener.apply_keys();
     }
 }
 
@@ -88,7 +88,7 @@
         let clock = SteadyClock::start();
         let incarnation = Incarnation(rand::random());
         let role = PeerRole::Agent { backend_server: settings.backend_server.clone() };
-        let view = Arc::new(View::new(clock, settings.instance.clone(), incarnation, role));
+        let view = Arc::new(ProcessView::new(clock, settings.instance.clone(), incarnation, role));
         let trail = Arc::new(Trail::default());
         let keys = LinkKeys::load(&settings.link_security)?;
         let (links, link_events) = Links::new(keys, view.clone());
@@ -96,17 +96,17 @@
             .listen(settings.link_address)
             .map_err(|cause| StartError::Listen { link_address: settings.link_address, cause })?;
         let listener = Arc::new(listener);
-        let renewal = renewal::follow(
+        let renewal = renewal::watch(
             &settings.link_security,
             Box::new(LinksOfAgent { links: links.clone(), listener: listener.clone() }),
-            Surroundings { trail: trail.clone(), inspect: view.clone(), clock },
+            RenewalContext { trail: trail.clone(), status_source: view.clone(), clock },
         );
         let link_address = listener.address().unwrap_or(settings.link_address);
-        let views = Views { inspect: view.clone(), trail: trail.clone(), exposition };
-        let operators = operators::mount(server::build(settings.operator_address), views);
+        let sources = PageSources { status_source: view.clone(), trail: trail.clone(), exposition };
+        let operators = operators::mount(server::build(settings.operator_address), sources);
         let operators = server::start(settings.operator_address, operators).await?;
         let (platform_events, platform) = unbounded_channel();
-        let (follow, mode) = watch::channel(Follow::Watch);
+        let (follow_mode, mode) = watch::channel(FollowMode::Watch);
         platform::follow(&settings.platform_url, mode, platform_events);
         let backend = Backend::new(&settings.backend_url, &settings.health_path, clock)?;
         let identity =
@@ -124,7 +124,7 @@
             links: links.clone(),
             view: view.clone(),
             trail: trail.clone(),
-            follow,
+            follow_mode,
         });
         let (driver, backend_events) = Driver::new(Parts {
             group: Group::new(ground, links.clone()),
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -131,6 +131,6 @@
             ("platform_url", quoted(&self.platform_url), self.platform_url.starts_with("http://")),
             ("log_filter", quoted(&self.log_filter), logs::is_filter(&self.log_filter)),
         ];
-        settings::failed::<Self, _>(checks)
+        settings::faults_of_checks::<Self, _>(checks)
     }
 }
--- a/crates/entry/examples/capacity_processes/fleet.rs
+++ b/crates/entry/examples/capacity_processes/fleet.rs
@@ -4,7 +4,7 @@
 use hickorycross_core::audit::Change;
 use hickorycross_entry::demo::{Stage, StageOptions};
 use hickorycross_lab::capacity::{FleetShape, document};
-use hickorycross_runtime::trail::Entry as TrailEntry;
+use hickorycross_runtime::trail::TrailEntry;
 use hickorycross_standins::Knobs;
 use hickorycross_standins::relay::UdpRelay;
 use miette::IntoDiagnostic;
--- a/crates/entry/src/cli/keys.rs
+++ b/crates/entry/src/cli/keys.rs
@@ -62,7 +62,7 @@
         .get_one("directory")
         .ok_or_else(|| unusable(miette::miette!("name a directory with --directory")))?;
     let days = matches.get_one("days").copied().unwrap_or(DEFAULT_VALID_DAYS);
-    let authority = Authority::open_or_make(directory).map_err(|error| unusable(error.into()))?;
+    let authority = Authority::open_or_create(directory).map_err(|error| unusable(error.into()))?;
     for holder in [Holder::Entry, Holder::Agent] {
         authority.issue(holder, days).map_err(|error| unusable(error.into()))?;
     }
--- a/crates/entry/src/console/mod.rs
+++ b/crates/entry/src/console/mod.rs
@@ -20,9 +20,9 @@
 use crate::observed::Observed;
 use hickorycross_core::audit::{AuditRecord, Change};
 use hickorycross_runtime::clock::SteadyClock;
-use hickorycross_runtime::operators::Inspect;
+use hickorycross_runtime::operators::StatusSource;
 use hickorycross_runtime::trail::Trail;
-use hickorycross_runtime::view::View;
+use hickorycross_runtime::view::ProcessView;
 use rocket::{Build, Rocket};
 use session::{Session, Tokens};
 use std::sync::Arc;
@@ -35,7 +35,7 @@
 pub(crate) struct Console {
     operators: Vec<OperatorCredential>,
     clock: SteadyClock,
-    view: Arc<View>,
+    view: Arc<ProcessView>,
     trail: Arc<Trail>,
     observed: Arc<Observed>,
     tokens: Tokens,
@@ -48,7 +48,7 @@
     pub(crate) fn new(
         operators: &[OperatorCredential],
         clock: SteadyClock,
-        view: Arc<View>,
+        view: Arc<ProcessView>,
         trail: Arc<Trail>,
         observed: Arc<Observed>,
     ) -> Self {
--- a/crates/entry/src/console/pages/audit.rs
+++ b/crates/entry/src/console/pages/audit.rs
@@ -4,7 +4,7 @@
 use hickorycross_config::Digest;
 use hickorycross_core::UnixMs;
 use hickorycross_core::audit::Change;
-use hickorycross_runtime::trail::{self, Break, Entry, Trail};
+use hickorycross_runtime::trail::{self, Trail, TrailEntry, TrailFault};
 use maud::{Markup, html};
 use serde_json::Value;
 
@@ -29,7 +29,7 @@
         entries.iter().map(|entry| kind_of(&entry.record.change)).collect();
     kinds.sort_unstable();
     kinds.dedup();
-    let found: Vec<&Entry> =
+    let found: Vec<&TrailEntry> =
         entries.iter().rev().filter(|entry| is_wanted(entry, filter)).collect();
     let body = html! {
         (wholeness(&entries))
@@ -50,15 +50,15 @@
     chrome.page("Audit trail", &body)
 }
 
-fn wholeness(entries: &[Entry]) -> Markup {
+fn wholeness(entries: &[TrailEntry]) -> Markup {
     let first = entries.first().map_or(1, |entry| entry.sequence);
     html! {
         @match trail::check(entries) {
             None => p { "The kept records follow one another without a gap." },
-            Some(Break::Missing { expected, found }) => p.fault role="alert" {
+            Some(TrailFault::Missing { expected, found }) => p.fault role="alert" {
                 "Records are missing: after " (expected - 1) " comes " (found) "."
             },
-            Some(Break::Altered { sequence }) => p.fault role="alert" {
+            Some(TrailFault::Altered { sequence }) => p.fault role="alert" {
                 "Record " (sequence) " does not match its hash."
             },
         }
@@ -88,7 +88,7 @@
     }
 }
 
-fn row(entry: &Entry) -> Markup {
+fn row(entry: &TrailEntry) -> Markup {
     let record = &entry.record;
     let sides = Sides::of(&record.change);
     html! {
@@ -109,7 +109,7 @@
     json["kind"].as_str().unwrap_or_default().to_owned()
 }
 
-fn is_wanted(entry: &Entry, filter: &AuditFilter<'_>) -> bool {
+fn is_wanted(entry: &TrailEntry, filter: &AuditFilter<'_>) -> bool {
     let record = &entry.record;
     let text = || serde_json::to_string(record).unwrap_or_default();
     filter.since.is_none_or(|since| record.at >= since)
--- a/crates/entry/src/console/pages/fleet.rs
+++ b/crates/entry/src/console/pages/fleet.rs
@@ -10,8 +10,8 @@
 use hickorycross_core::entry::{BackendView, EntrySnapshot, LinkUsage, StandingView};
 use hickorycross_core::{InstanceId, InstanceState, Role, UnixMs};
 use hickorycross_runtime::fleet::{FleetSnapshot, Process};
-use hickorycross_runtime::operators::{Inspect, Status};
-use hickorycross_runtime::trail::Entry;
+use hickorycross_runtime::operators::{Status, StatusSource};
+use hickorycross_runtime::trail::TrailEntry;
 use indexmap::IndexMap;
 use maud::{Markup, html};
 
@@ -81,10 +81,10 @@
                         td { (role_of(process)) }
                         td { (state_of(instance, process, snapshot)) }
                         td { @if **instance == own.instance { (Shown(own.stamp)) }
-                            @else if let Some(heard) = process.heard { (Shown(heard.stamp)) }
+                            @else if let Some(report) = process.last_report { (Shown(report.stamp)) }
                             @else { "not known" } }
                         td { @if **instance == own.instance { "this process" }
-                            @else if let Some(heard) = process.heard { (age(now, heard.at)) }
+                            @else if let Some(report) = process.last_report { (age(now, report.at)) }
                             @else { "never" } }
                     }
                 } }
@@ -201,8 +201,8 @@
     }
 }
 
-fn history(trail: &[Entry], now: UnixMs, is_wanted: fn(&Change) -> bool) -> Markup {
-    let found: Vec<&Entry> =
+fn history(trail: &[TrailEntry], now: UnixMs, is_wanted: fn(&Change) -> bool) -> Markup {
+    let found: Vec<&TrailEntry> =
         trail.iter().rev().filter(|entry| is_wanted(&entry.record.change)).collect();
     html! {
         @if found.is_empty() { p { "None in the kept trail." } }
--- a/crates/entry/src/console/pages/layout.rs
+++ b/crates/entry/src/console/pages/layout.rs
@@ -5,7 +5,7 @@
 use crate::console::session::Session;
 use hickorycross_config::Stamp;
 use hickorycross_core::UnixMs;
-use hickorycross_runtime::operators::Inspect;
+use hickorycross_runtime::operators::StatusSource;
 use maud::{DOCTYPE, Markup, html};
 use rocket::http::{ContentType, Header, Status};
 use rocket::response::{self, Responder};
--- a/crates/entry/src/console/pages/rollout.rs
+++ b/crates/entry/src/console/pages/rollout.rs
@@ -4,8 +4,8 @@
 use crate::console::Console;
 use hickorycross_config::{Digest, Stamp};
 use hickorycross_core::UnixMs;
-use hickorycross_runtime::fleet::{FleetSnapshot, Heard};
-use hickorycross_runtime::operators::Inspect;
+use hickorycross_runtime::fleet::{FleetSnapshot, LastReport};
+use hickorycross_runtime::operators::StatusSource;
 use indexmap::IndexMap;
 use maud::{Markup, html};
 
@@ -30,9 +30,9 @@
         let mut spread = Self::default();
         spread.add(own, now);
         for (instance, process) in &fleet.processes {
-            match process.heard {
+            match process.last_report {
                 _ if &*instance.0 == own_instance => {}
-                Some(Heard { stamp, at, .. }) => spread.add(stamp, at),
+                Some(LastReport { stamp, at, .. }) => spread.add(stamp, at),
                 None => spread.unheard += 1,
             }
         }
--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -10,12 +10,12 @@
 use hickorycross_core::{InstanceId, LinkId, Now, RequestId};
 use hickorycross_protocol::{Frame, Hello, PeerRole};
 use hickorycross_runtime::clock::SteadyClock;
-use hickorycross_runtime::follower::{ConfigFollower, Followed};
+use hickorycross_runtime::follower::{ConfigFollower, ConfigUpdate};
 use hickorycross_runtime::link::{LinkEvent, Links};
-use hickorycross_runtime::operators::Inspect;
+use hickorycross_runtime::operators::StatusSource;
 use hickorycross_runtime::platform::PlatformEvent;
 use hickorycross_runtime::trail::Trail;
-use hickorycross_runtime::view::View;
+use hickorycross_runtime::view::ProcessView;
 use indexmap::IndexMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,7 +40,7 @@
     pub(crate) follower: ConfigFollower,
     pub(crate) own: InstanceId,
     pub(crate) links: Links,
-    pub(crate) view: Arc<View>,
+    pub(crate) view: Arc<ProcessView>,
     pub(crate) trail: Arc<Trail>,
     pub(crate) catalog: Arc<Catalog>,
     pub(crate) observed: Arc<Observed>,
@@ -89,8 +89,8 @@
 
     fn tick(&mut self) {
         self.handle(EntryEvent::Tick);
-        let followed = self.parts.follower.tick(self.parts.clock.now());
-        self.follow(followed);
+        let update = self.parts.follower.tick(self.parts.clock.now());
+        self.follow(update);
         let now = self.parts.clock.now();
         let follower = &self.parts.follower;
         let ready = follower.has_document() && follower.is_gate_open(now);
@@ -178,10 +178,10 @@
             LinkEvent::Closed { link, reason } => {
                 log::debug!(target: "link", link = link.0, reason = reason.as_str(); "closed");
                 self.backends.swap_remove(&link);
-                self.parts.observed.fleet().closed(link);
-                let followed = self.parts.follower.closed(self.parts.clock.now(), link);
-                self.follow(followed);
-                if !self.parts.follower.owns(link) {
+                self.parts.observed.fleet().link_closed(link);
+                let update = self.parts.follower.link_closed(self.parts.clock.now(), link);
+                self.follow(update);
+                if !self.parts.follower.is_gate_link(link) {
                     self.handle(EntryEvent::LinkClosed { link });
                 }
             }
@@ -190,10 +190,10 @@
 
     fn on_opened(&mut self, link: LinkId, hello: Hello) {
         let now = self.parts.clock.now();
-        self.parts.observed.fleet().greeted(now.unix_ms, link, &hello);
-        let followed = self.parts.follower.greeted(now, link, hello.stamp);
-        self.follow(followed);
-        if self.parts.follower.owns(link) {
+        self.parts.observed.fleet().link_opened(now.unix_ms, link, &hello);
+        let update = self.parts.follower.receive_hello(now, link, hello.stamp);
+        self.follow(update);
+        if self.parts.follower.is_gate_link(link) {
             return;
         }
         if let PeerRole::Agent { backend_server } = hello.role {
@@ -206,20 +206,20 @@
     fn on_frame(&mut self, link: LinkId, frame: Frame) {
         let now = self.parts.clock.now();
         if let Frame::Announce(stamp) = &frame {
-            self.parts.observed.fleet().heard(now.unix_ms, link, *stamp);
+            self.parts.observed.fleet().record_stamp(now.unix_ms, link, *stamp);
         }
         match frame {
             Frame::ToEntry(message) => {
                 if let ToEntry::HeartbeatAck { stamp, .. } = &message {
-                    self.parts.observed.fleet().heard(now.unix_ms, link, *stamp);
-                    let followed = self.parts.follower.heard(now, link, *stamp);
-                    self.follow(followed);
+                    self.parts.observed.fleet().record_stamp(now.unix_ms, link, *stamp);
+                    let update = self.parts.follower.learn_peer_stamp(now, link, *stamp);
+                    self.follow(update);
                 }
                 self.handle(EntryEvent::Message { link, message });
             }
             other => {
-                let followed = self.parts.follower.frame(now, link, &other);
-                self.follow(followed);
+                let update = self.parts.follower.receive_frame(now, link, &other);
+                self.follow(update);
             }
         }
     }
@@ -227,10 +227,10 @@
     fn on_platform(&mut self, event: PlatformEvent) {
         let now = self.parts.clock.now();
         if let PlatformEvent::Instances(instances) = &event {
-            self.parts.observed.fleet().listed(now.unix_ms, instances);
+            self.parts.observed.fleet().update_instances(now.unix_ms, instances);
         }
-        let followed = self.parts.follower.platform(now, &event);
-        self.follow(followed);
+        let update = self.parts.follower.receive_platform_event(now, &event);
+        self.follow(update);
         if let PlatformEvent::Instances(instances) = event {
             self.handle(EntryEvent::Instances(instances));
         }
@@ -238,8 +238,8 @@
 
     /// Hands an adopted document to all that reads it and to the core, then tells the peers. A
     /// rival of it is for the audit trail only: an entry is no home of keys.
-    fn follow(&mut self, followed: Option<Followed>) {
-        let Some(Followed::Adopted { stamp, document }) = followed else { return };
+    fn follow(&mut self, update: Option<ConfigUpdate>) {
+        let Some(ConfigUpdate::Adopted { stamp, document }) = update else { return };
         self.parts.catalog.adopt(Arc::clone(&document));
         self.parts.observed.adopt(stamp, Arc::clone(&document));
         self.export.adopt(&document);
--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -13,13 +13,13 @@
 use hickorycross_runtime::exposition::Exposition;
 use hickorycross_runtime::follower::{ConfigFollower, FollowerParts};
 use hickorycross_runtime::link::Links;
-use hickorycross_runtime::operators::{self, Views};
-use hickorycross_runtime::platform::{self, Follow};
-use hickorycross_runtime::security::renewal::{self, Renewal, Surroundings, UseKeys};
+use hickorycross_runtime::operators::{self, PageSources};
+use hickorycross_runtime::platform::{self, FollowMode};
+use hickorycross_runtime::security::renewal::{self, Renewal, RenewalContext, UseKeys};
 use hickorycross_runtime::security::{LinkKeys, SecurityError};
-use hickorycross_runtime::server::{self, Running, ServeError, TlsFiles};
+use hickorycross_runtime::server::{self, RunningServer, ServeError, TlsFiles};
 use hickorycross_runtime::trail::Trail;
-use hickorycross_runtime::view::View;
+use hickorycross_runtime::view::ProcessView;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc::unbounded_channel;
@@ -44,10 +44,10 @@
 pub struct Entry {
     driver: tokio::task::JoinHandle<()>,
     drain: Option<oneshot::Sender<()>>,
-    view: Arc<View>,
+    view: Arc<ProcessView>,
     callers: Callers,
-    server: Running,
-    operators: Running,
+    server: RunningServer,
+    operators: RunningServer,
     /// The platform's balancer needs a few checks to notice that the readiness check fails; until
     /// then it sends new requests, and they are served.
     /// A span as the settings give it; a drain turns it into a deadline.
@@ -60,7 +60,7 @@
 
 impl UseKeys for LinksOfEntry {
     fn use_keys(&self, keys: LinkKeys) {
-        self.0.renew(keys);
+        self.0.replace_keys(keys);
     }
 }
 
@@ -73,8 +73,12 @@
     pub async fn start(settings: &Settings, exposition: Exposition) -> Result<Self, StartError> {
         let clock = SteadyClock::start();
         let incarnation = Incarnation(rand::random());
-        let view =
-            Arc::new(View::new(clock, settings.instance.clone(), incarnation, PeerRole::Entry));
+        let view = Arc::new(ProcessView::new(
+            clock,
+            settings.instance.clone(),
+            incarnation,
+            PeerRole::Entry,
+        ));
         let trail = Arc::new(Trail::default());
         let catalog = Arc::new(Catalog::default());
         let observed = Arc::new(Observed::default());
@@ -82,24 +86,21 @@
         let (links, link_events) = Links::new(keys, view.clone());
         let (inbound, caller_events) = unbounded_channel();
         let callers = Callers::new(incarnation, inbound, clock, bounds(settings), catalog.clone());
-        let server = server::build_with(settings.caller_address, caller_tls(settings))
+        let server = server::build_with_tls(settings.caller_address, caller_tls(settings))
             .mount("/", callers.routes())
             .register("/", catchers(&callers));
         let caller_server = server::start(settings.caller_address, server).await?;
-        let views = Views { inspect: view.clone(), trail: trail.clone(), exposition };
-        let server = operators::mount(server::build(settings.operator_address), views);
+        let sources = PageSources { status_source: view.clone(), trail: trail.clone(), exposition };
+        let server = operators::mount(server::build(settings.operator_address), sources);
         let console =
             Console::new(&settings.operators, clock, view.clone(), trail.clone(), observed.clone());
         let server = console::mount(server, console);
         let operators = server::start(settings.operator_address, server).await?;
-        let surroundings = Surroundings { trail: trail.clone(), inspect: view.clone(), clock };
-        let renewal = renewal::follow(
-            &settings.link_security,
-            Box::new(LinksOfEntry(links.clone())),
-            surroundings,
-        );
+        let context = RenewalContext { trail: trail.clone(), status_source: view.clone(), clock };
+        let renewal =
+            renewal::watch(&settings.link_security, Box::new(LinksOfEntry(links.clone())), context);
         let (platform_events, platform) = unbounded_channel();
-        let (follow, mode) = watch::channel(Follow::Watch);
+        let (follow_mode, mode) = watch::channel(FollowMode::Watch);
         platform::follow(&settings.platform_url, mode, platform_events);
         let identity =
             EntryIdentity { incarnation, failure_domain: settings.failure_domain.clone() };
@@ -110,7 +111,7 @@
             links: links.clone(),
             view: view.clone(),
             trail: trail.clone(),
-            follow,
+            follow_mode,
         });
         let driver = Driver::new(Parts {
             core: EntryCore::new(identity, EntryPolicies::production(seed), seed),
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -203,7 +203,7 @@
             ),
             ("log_filter", format!("{:?}", self.log_filter), logs::is_filter(&self.log_filter)),
         ];
-        let mut faults = settings::failed::<Self, _>(checks);
+        let mut faults = settings::faults_of_checks::<Self, _>(checks);
         faults.extend(OperatorCredential::faults(&self.operators));
         faults
     }
--- a/crates/entry/tests/tls.rs
+++ b/crates/entry/tests/tls.rs
@@ -8,12 +8,12 @@
 use hickorycross_entry::demo::Stage;
 use hickorycross_protocol::{Hello, PeerRole, VERSIONS};
 use hickorycross_runtime::clock::SteadyClock;
-use hickorycross_runtime::link::{Greet, LinkEvent, Links, Listener};
+use hickorycross_runtime::link::{HelloSource, LinkEvent, Links, Listener};
 use hickorycross_runtime::security::authority::{AUTHORITY_FILE, Authority, Holder};
-use hickorycross_runtime::security::renewal::{self, Surroundings, UseKeys};
+use hickorycross_runtime::security::renewal::{self, RenewalContext, UseKeys};
 use hickorycross_runtime::security::{AGENT_NAME, KeyFiles, LinkKeys, LinkSecurity};
-use hickorycross_runtime::trail::{Entry as Record, Trail};
-use hickorycross_runtime::view::View;
+use hickorycross_runtime::trail::{Trail, TrailEntry as Record};
+use hickorycross_runtime::view::ProcessView;
 use local::{Local, wait_for};
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, ServerName};
@@ -42,7 +42,7 @@
 
     /// Makes certificates of the directory's authority, in place of those before.
     fn issue(&self) {
-        let authority = Authority::open_or_make(&self.0).expect("an authority");
+        let authority = Authority::open_or_create(&self.0).expect("an authority");
         for holder in [Holder::Entry, Holder::Agent] {
             authority.issue(holder, VALID_DAYS).expect("a certificate");
         }
@@ -69,7 +69,7 @@
 
 struct Role(PeerRole);
 
-impl Greet for Role {
+impl HelloSource for Role {
     fn hello(&self) -> Hello {
         Hello {
             versions: VERSIONS,
@@ -203,8 +203,8 @@
 
 impl UseKeys for Renewed {
     fn use_keys(&self, keys: LinkKeys) {
-        self.links.renew(keys);
-        self.listener.renew();
+        self.links.replace_keys(keys);
+        self.listener.apply_keys();
     }
 }
 
@@ -232,12 +232,13 @@
     let address = listener.address().expect("its address");
     let trail = Arc::new(Trail::default());
     let clock = SteadyClock::start();
-    let view = View::new(clock, InstanceId::new("test"), Incarnation(1), agent_role());
-    let surroundings = Surroundings { trail: Arc::clone(&trail), inspect: Arc::new(view), clock };
+    let view = ProcessView::new(clock, InstanceId::new("test"), Incarnation(1), agent_role());
+    let context =
+        RenewalContext { trail: Arc::clone(&trail), status_source: Arc::new(view), clock };
     let target = Box::new(Renewed { links, listener });
     let old_entry = LinkSecurity::MutualTls(copied_entry(&old));
     let security = old.security(Holder::Agent);
-    let _renewal = renewal::follow(&security, target, surroundings);
+    let _renewal = renewal::watch(&security, target, context);
 
     std::fs::write(old.0.join(Holder::Agent.certificate_file()), "half a certif").expect("written");
     // Longer than two looks at the files.
--- a/crates/runtime/src/command/audit.rs
+++ b/crates/runtime/src/command/audit.rs
@@ -3,7 +3,7 @@
 use super::Failure;
 use super::fetch::get;
 use super::status::{json_argument, url, url_argument};
-use crate::trail::{self, Break, Entry};
+use crate::trail::{self, TrailEntry, TrailFault};
 use clap::{Arg, ArgMatches, Command, value_parser};
 use hickorycross_core::audit::Actor;
 use serde_json::Value;
@@ -43,7 +43,7 @@
 /// When the process cannot be reached or the trail is broken.
 pub fn audit(matches: &ArgMatches) -> Result<(), Failure> {
     let since = matches.get_one::<u64>("since").copied().unwrap_or(1);
-    let entries: Vec<Entry> = get(url(matches), &format!("/audit?since={since}"))?;
+    let entries: Vec<TrailEntry> = get(url(matches), &format!("/audit?since={since}"))?;
     let filter = Filter::of(matches);
     let shown = entries.iter().filter(|entry| filter.passes(entry));
     if matches.get_flag("json") {
@@ -52,25 +52,25 @@
     } else {
         shown.for_each(|entry| println!("{}", readable(entry)));
     }
-    tell_start(since, &entries);
-    conclude(trail::check(&entries))
+    report_dropped_records(since, &entries);
+    check_result(trail::check(&entries))
 }
 
 /// A process keeps a bounded number of records: what it no longer has is no gap, but must be said.
-fn tell_start(since: u64, entries: &[Entry]) {
+fn report_dropped_records(since: u64, entries: &[TrailEntry]) {
     if let Some(first) = entries.first().filter(|first| first.sequence > since.max(1)) {
         let last = first.sequence - 1;
         eprintln!("records {since} to {last} are no longer kept; they stand in the log");
     }
 }
 
-fn conclude(found: Option<Break>) -> Result<(), Failure> {
+fn check_result(found: Option<TrailFault>) -> Result<(), Failure> {
     let report = match found {
         None => return Ok(()),
-        Some(Break::Missing { expected, found }) => {
+        Some(TrailFault::Missing { expected, found }) => {
             miette::miette!("the trail has a gap: expected record {expected}, found {found}")
         }
-        Some(Break::Altered { sequence }) => {
+        Some(TrailFault::Altered { sequence }) => {
             miette::miette!("record {sequence} was altered: its hash does not follow")
         }
     };
@@ -92,7 +92,7 @@
         }
     }
 
-    fn passes(&self, entry: &Entry) -> bool {
+    fn passes(&self, entry: &TrailEntry) -> bool {
         let change = serde_json::to_value(&entry.record.change).unwrap_or_default();
         let is = |name: &str, wanted: Option<&String>| {
             wanted.is_none_or(|wanted| change[name].as_str() == Some(wanted))
@@ -111,7 +111,7 @@
     }
 }
 
-fn readable(entry: &Entry) -> String {
+fn readable(entry: &TrailEntry) -> String {
     let change = serde_json::to_value(&entry.record.change).unwrap_or_default();
     let kind = change["kind"].as_str().unwrap_or_default();
     let fields = change.as_object().into_iter().flatten().filter(|(name, _)| *name != "kind");
--- a/crates/runtime/src/command/mod.rs
+++ b/crates/runtime/src/command/mod.rs
@@ -49,7 +49,7 @@
 
 /// Prints a failure and gives the exit code.
 #[must_use]
-pub fn conclude(done: Result<(), Failure>) -> ExitCode {
+pub fn report_result(done: Result<(), Failure>) -> ExitCode {
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
@@ -61,7 +61,7 @@
 
 /// Prints what `clap` has to say, which may be help, and gives the exit code.
 #[must_use]
-pub fn conclude_parsing(error: &clap::Error) -> ExitCode {
+pub fn report_parse_error(error: &clap::Error) -> ExitCode {
     let _ = error.print();
     u8::try_from(error.exit_code()).map_or(ExitCode::FAILURE, ExitCode::from)
 }
--- a/crates/runtime/src/fleet.rs
+++ b/crates/runtime/src/fleet.rs
@@ -12,20 +12,21 @@
 use std::sync::{Mutex, PoisonError};
 
 /// Samples of step-time skew that are kept for a group.
-pub const KEPT_SKEW_SAMPLES: usize = 120;
+pub const MAX_SKEW_SAMPLES: usize = 120;
 
 /// A process that the platform lists or that was heard of.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Process {
     /// What the platform's list says; none once it no longer names the instance.
-    pub listed: Option<Listed>,
+    pub listed: Option<InstanceListing>,
     /// What the process said of itself; none before its first word.
-    pub heard: Option<Heard>,
+    #[serde(rename = "heard")]
+    pub last_report: Option<LastReport>,
 }
 
 /// A row of the platform's instance list.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Listed {
+pub struct InstanceListing {
     /// What the instance is for.
     pub role: Role,
     /// Where it stands.
@@ -38,7 +39,7 @@
 
 /// The latest word of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Heard {
+pub struct LastReport {
     /// Its incarnation.
     pub incarnation: Incarnation,
     /// The document that it held.
@@ -71,60 +72,60 @@
 
 #[derive(Debug, Default)]
 struct Table {
-    known: FleetSnapshot,
-    links: IndexMap<LinkId, Speaker>,
+    snapshot: FleetSnapshot,
+    links: IndexMap<LinkId, Peer>,
 }
 
 #[derive(Clone, Debug)]
-struct Speaker {
+struct Peer {
     instance: InstanceId,
     incarnation: Incarnation,
 }
 
 impl Fleet {
     /// Takes the platform's list in; forgets who is neither listed nor linked.
-    pub fn listed(&self, at: UnixMs, instances: &[Instance]) {
+    pub fn update_instances(&self, at: UnixMs, instances: &[Instance]) {
         let mut table = self.lock();
-        for process in table.known.processes.values_mut() {
+        for process in table.snapshot.processes.values_mut() {
             process.listed = None;
         }
         for instance in instances {
-            let process = table.known.processes.entry(instance.id.clone()).or_default();
-            process.listed = Some(Listed {
+            let process = table.snapshot.processes.entry(instance.id.clone()).or_default();
+            process.listed = Some(InstanceListing {
                 role: instance.role.clone(),
                 failure_domain: instance.failure_domain.clone(),
                 state: instance.state,
                 at,
             });
         }
-        table.forget();
+        table.remove_departed();
     }
 
     /// Learns who is at the other end of a link.
-    pub fn greeted(&self, at: UnixMs, link: LinkId, hello: &Hello) {
-        let speaker = Speaker { instance: hello.instance.clone(), incarnation: hello.incarnation };
+    pub fn link_opened(&self, at: UnixMs, link: LinkId, hello: &Hello) {
+        let peer = Peer { instance: hello.instance.clone(), incarnation: hello.incarnation };
         let mut table = self.lock();
-        table.links.insert(link, speaker);
-        table.hear(at, link, hello.stamp);
+        table.links.insert(link, peer);
+        table.record_stamp(at, link, hello.stamp);
     }
 
     /// Learns what the other end of a link holds.
-    pub fn heard(&self, at: UnixMs, link: LinkId, stamp: Stamp) {
-        self.lock().hear(at, link, stamp);
+    pub fn record_stamp(&self, at: UnixMs, link: LinkId, stamp: Stamp) {
+        self.lock().record_stamp(at, link, stamp);
     }
 
     /// Learns that a link has ended; what was heard on it stays, and ages.
-    pub fn closed(&self, link: LinkId) {
+    pub fn link_closed(&self, link: LinkId) {
         let mut table = self.lock();
         table.links.swap_remove(&link);
-        table.forget();
+        table.remove_departed();
     }
 
     /// Takes a group's skew in.
-    pub fn skew(&self, group: &ModelGroupId, sample: SkewSample) {
+    pub fn record_skew(&self, group: &ModelGroupId, sample: SkewSample) {
         let mut table = self.lock();
-        let samples = table.known.skew.entry(group.clone()).or_default();
-        if samples.len() == KEPT_SKEW_SAMPLES {
+        let samples = table.snapshot.skew.entry(group.clone()).or_default();
+        if samples.len() == MAX_SKEW_SAMPLES {
             samples.pop_front();
         }
         samples.push_back(sample);
@@ -133,7 +134,7 @@
     /// Copies what is known.
     #[must_use]
     pub fn snapshot(&self) -> FleetSnapshot {
-        self.lock().known.clone()
+        self.lock().snapshot.clone()
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Table> {
@@ -142,20 +143,20 @@
 }
 
 impl Table {
-    fn hear(&mut self, at: UnixMs, link: LinkId, stamp: Stamp) {
-        let Some(speaker) = self.links.get(&link) else { return };
-        let process = self.known.processes.entry(speaker.instance.clone()).or_default();
-        process.heard = Some(Heard { incarnation: speaker.incarnation, stamp, at });
+    fn record_stamp(&mut self, at: UnixMs, link: LinkId, stamp: Stamp) {
+        let Some(peer) = self.links.get(&link) else { return };
+        let process = self.snapshot.processes.entry(peer.instance.clone()).or_default();
+        process.last_report = Some(LastReport { incarnation: peer.incarnation, stamp, at });
     }
 
     /// Drops who is neither listed nor at the end of a link.
     ///
     /// Instances are replaced all day under new names: kept for good, the table would grow without
     /// bound; one would see memory rise with the age of the process.
-    fn forget(&mut self) {
-        let Self { known, links } = self;
-        known.processes.retain(|instance, process| {
-            process.listed.is_some() || links.values().any(|speaker| speaker.instance == *instance)
+    fn remove_departed(&mut self) {
+        let Self { snapshot, links } = self;
+        snapshot.processes.retain(|instance, process| {
+            process.listed.is_some() || links.values().any(|peer| peer.instance == *instance)
         });
     }
 }
--- a/crates/runtime/src/follower.rs
+++ b/crates/runtime/src/follower.rs
@@ -5,9 +5,9 @@
 //! out and hands each adopted document to the driver.
 
 use crate::link::Links;
-use crate::platform::{Follow, PlatformEvent};
+use crate::platform::{FollowMode, PlatformEvent};
 use crate::trail::Trail;
-use crate::view::View;
+use crate::view::ProcessView;
 use hickorycross_config::{Document, Stamp};
 use hickorycross_core::adoption::{Exchange, ExchangeAction, Probe, StartGate, is_watcher};
 use hickorycross_core::{Instance, InstanceId, LinkId, Now};
@@ -24,16 +24,16 @@
     /// Reaches the peers.
     pub links: Links,
     /// Shows the stamps in force and refused.
-    pub view: Arc<View>,
+    pub view: Arc<ProcessView>,
     /// Takes the audit records.
     pub trail: Arc<Trail>,
     /// Tells the reader of the platform how to follow.
-    pub follow: watch::Sender<Follow>,
+    pub follow_mode: watch::Sender<FollowMode>,
 }
 
 /// What a follower learnt that concerns the driver's core.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Followed {
+pub enum ConfigUpdate {
     /// A document is in force from now on. The driver hands it to its core and then calls
     /// [`ConfigFollower::announce`].
     Adopted {
@@ -43,7 +43,7 @@
         document: Arc<Document>,
     },
     /// A peer holds this document under the very revision that is in force here.
-    Rival(Arc<Document>),
+    Conflict(Arc<Document>),
 }
 
 /// Follows the configuration: exchanges documents with peers and runs the start gate.
@@ -55,7 +55,7 @@
     gate: StartGate,
     offers: OfferCache,
     /// Whether it is among the few that watch the platform's service.
-    watches: bool,
+    is_watcher: bool,
     /// What was adopted and not announced yet.
     unannounced: Option<Stamp>,
 }
@@ -69,7 +69,7 @@
             parts,
             exchange: Exchange::default(),
             offers: OfferCache::default(),
-            watches: true,
+            is_watcher: true,
             unannounced: None,
         }
     }
@@ -94,56 +94,61 @@
 
     /// Whether the link was opened for the start gate; the core knows nothing of such links.
     #[must_use]
-    pub fn owns(&self, link: LinkId) -> bool {
+    pub fn is_gate_link(&self, link: LinkId) -> bool {
         self.gate.owns(link)
     }
 
     /// Repeats lost requests and closes links of the gate; to be called several times a second.
     #[must_use = "the core has to hear of the document"]
-    pub fn tick(&mut self, now: Now) -> Option<Followed> {
+    pub fn tick(&mut self, now: Now) -> Option<ConfigUpdate> {
         let actions = self.exchange.tick(now);
-        let followed = self.act(actions);
-        self.settle_gate();
-        followed
+        let update = self.apply_actions(actions);
+        self.close_finished_gate_links();
+        update
     }
 
     /// Forgets a link that has ended.
     #[must_use = "the core has to hear of the document"]
-    pub fn closed(&mut self, now: Now, link: LinkId) -> Option<Followed> {
+    pub fn link_closed(&mut self, now: Now, link: LinkId) -> Option<ConfigUpdate> {
         self.gate.link_closed(link);
         let actions = self.exchange.link_closed(now, link);
-        self.act(actions)
+        self.apply_actions(actions)
     }
 
     /// Learns from a greeting what is in force at a peer.
     #[must_use = "the core has to hear of the document"]
-    pub fn greeted(&mut self, now: Now, link: LinkId, stamp: Stamp) -> Option<Followed> {
-        let followed = self.heard(now, link, stamp);
+    pub fn receive_hello(&mut self, now: Now, link: LinkId, stamp: Stamp) -> Option<ConfigUpdate> {
+        let update = self.learn_peer_stamp(now, link, stamp);
         if self.gate.owns(link) {
             self.gate.peer_answered(link);
-            self.settle_gate();
+            self.close_finished_gate_links();
         }
-        followed
+        update
     }
 
     /// Learns from a heartbeat or an announcement what is in force at a peer.
     #[must_use = "the core has to hear of the document"]
-    pub fn heard(&mut self, now: Now, link: LinkId, stamp: Stamp) -> Option<Followed> {
+    pub fn learn_peer_stamp(
+        &mut self,
+        now: Now,
+        link: LinkId,
+        stamp: Stamp,
+    ) -> Option<ConfigUpdate> {
         let actions = self.exchange.learn_peer_stamp(now, link, stamp);
-        self.act(actions)
+        self.apply_actions(actions)
     }
 
     /// Takes a frame that is not the driver's own; one that is not about the configuration is
     /// unexpected and is logged.
     #[must_use = "the core has to hear of the document"]
-    pub fn frame(&mut self, now: Now, link: LinkId, frame: &Frame) -> Option<Followed> {
+    pub fn receive_frame(&mut self, now: Now, link: LinkId, frame: &Frame) -> Option<ConfigUpdate> {
         match frame {
-            Frame::Announce(stamp) => self.heard(now, link, *stamp),
+            Frame::Announce(stamp) => self.learn_peer_stamp(now, link, *stamp),
             Frame::ConfigRequest => {
                 let actions = self.exchange.answer_request(link).into_iter().collect();
-                self.act(actions)
+                self.apply_actions(actions)
             }
-            Frame::ConfigOffer(offer) => self.offered(now, offer),
+            Frame::ConfigOffer(offer) => self.receive_offer(now, offer),
             Frame::Hello(_)
             | Frame::ToAgent(_)
             | Frame::ToEntry(_)
@@ -157,14 +162,18 @@
 
     /// Learns what the platform says.
     #[must_use = "the core has to hear of the document"]
-    pub fn platform(&mut self, now: Now, event: &PlatformEvent) -> Option<Followed> {
+    pub fn receive_platform_event(
+        &mut self,
+        now: Now,
+        event: &PlatformEvent,
+    ) -> Option<ConfigUpdate> {
         match event {
             PlatformEvent::Config(published) => {
                 let actions = self.exchange.offer(now, published);
-                self.act(actions)
+                self.apply_actions(actions)
             }
             PlatformEvent::Instances(instances) => {
-                self.listed(now, instances);
+                self.update_instances(now, instances);
                 None
             }
             PlatformEvent::Unreachable { detail } => {
@@ -180,30 +189,30 @@
     pub fn announce(&mut self) {
         if let Some(stamp) = self.unannounced.take() {
             self.parts.links.broadcast(&Frame::Announce(stamp));
-            self.settle_gate();
+            self.close_finished_gate_links();
         }
     }
 
-    fn offered(&mut self, now: Now, offer: &ConfigOffer) -> Option<Followed> {
-        let followed = match offer.document() {
+    fn receive_offer(&mut self, now: Now, offer: &ConfigOffer) -> Option<ConfigUpdate> {
+        let update = match offer.document() {
             Ok(document) => {
                 let actions = self.exchange.peer_offer(now, offer.stamp, &document);
-                self.act(actions)
+                self.apply_actions(actions)
             }
             Err(error) => {
                 log::warn!(target: "link", error:% = error; "unusable offer");
                 None
             }
         };
-        if followed.is_none() {
-            self.settle_gate();
+        if update.is_none() {
+            self.close_finished_gate_links();
         }
-        followed
+        update
     }
 
-    fn listed(&mut self, now: Now, instances: &[Instance]) {
-        self.watches = is_watcher(&self.parts.own, instances);
-        self.choose_follow();
+    fn update_instances(&mut self, now: Now, instances: &[Instance]) {
+        self.is_watcher = is_watcher(&self.parts.own, instances);
+        self.update_follow_mode();
         for Probe { link, address, .. } in self.gate.update_instances(now, instances) {
             self.parts.links.open(link, address);
         }
@@ -214,14 +223,14 @@
     /// A process without a document watches too. It may have started behind a cut, or beside an
     /// invalid document, and have no link on which a peer could tell it of a change: one would see
     /// it stay out of service until its next poll, half a minute after all else is well.
-    fn choose_follow(&self) {
-        let watches = self.watches || !self.has_document();
-        let follow = if watches { Follow::Watch } else { Follow::Poll };
-        self.parts.follow.send_if_modified(|mode| std::mem::replace(mode, follow) != follow);
+    fn update_follow_mode(&self) {
+        let should_watch = self.is_watcher || !self.has_document();
+        let chosen = if should_watch { FollowMode::Watch } else { FollowMode::Poll };
+        self.parts.follow_mode.send_if_modified(|mode| std::mem::replace(mode, chosen) != chosen);
     }
 
     /// Closes the links of the start gate from which nothing newer is to come.
-    fn settle_gate(&mut self) {
+    fn close_finished_gate_links(&mut self) {
         for link in self.gate.finish_peers(|link| self.exchange.awaits_document_from(link)) {
             self.parts.links.close(link);
         }
@@ -229,16 +238,18 @@
 
     /// Carries out what the exchange wants; one call of the exchange adopts one document at most,
     /// or shows one rival.
-    fn act(&mut self, actions: Vec<ExchangeAction>) -> Option<Followed> {
-        let mut followed = None;
+    fn apply_actions(&mut self, actions: Vec<ExchangeAction>) -> Option<ConfigUpdate> {
+        let mut update = None;
         for action in actions {
             match action {
                 ExchangeAction::Adopted { stamp, document } => {
-                    self.choose_follow();
+                    self.update_follow_mode();
                     self.parts.view.update(|status| status.stamp = stamp);
-                    followed = Some(Followed::Adopted { stamp, document });
+                    update = Some(ConfigUpdate::Adopted { stamp, document });
+                }
+                ExchangeAction::Conflict(document) => {
+                    update = Some(ConfigUpdate::Conflict(document))
                 }
-                ExchangeAction::Conflict(document) => followed = Some(Followed::Rival(document)),
                 ExchangeAction::Announce { link, stamp } => {
                     self.parts.links.send(link, Frame::Announce(stamp));
                 }
@@ -255,6 +266,6 @@
         }
         let refused = self.exchange.refused();
         self.parts.view.update(|status| status.refused = refused);
-        followed
+        update
     }
 }
--- a/crates/runtime/src/link/connection.rs
+++ b/crates/runtime/src/link/connection.rs
@@ -62,7 +62,7 @@
                 command = commands.recv() => match command {
                     Some(Command::Send(frame)) => self.send(frame, &control_frames),
                     Some(Command::Register { attempt, stream }) => self.register(attempt, stream),
-                    Some(Command::Finished { attempt, serial }) => self.forget(attempt, serial),
+                    Some(Command::Finished { attempt, serial }) => self.remove_stream(attempt, serial),
                     Some(Command::Close) | None => {
                         self.connection.close(0_u32.into(), b"closed");
                         return "closed by this end".to_owned();
@@ -97,7 +97,7 @@
     fn open_stream(&mut self, attempt: AttemptId, first: Frame) {
         let (frames, receiver) = unbounded_channel();
         let _ = frames.send(first);
-        let serial = self.insert(attempt, frames);
+        let serial = self.insert_stream(attempt, frames);
         let connection = self.connection.clone();
         let reader = self.reader();
         tokio::spawn(async move {
@@ -112,17 +112,17 @@
 
     fn register(&mut self, attempt: AttemptId, stream: SendStream) {
         let frames = spawn_writer(stream);
-        self.insert(attempt, frames);
+        self.insert_stream(attempt, frames);
     }
 
-    fn insert(&mut self, attempt: AttemptId, frames: UnboundedSender<Frame>) -> u64 {
+    fn insert_stream(&mut self, attempt: AttemptId, frames: UnboundedSender<Frame>) -> u64 {
         self.next_serial += 1;
         let serial = self.next_serial;
         self.streams.insert(attempt, AttemptStream { serial, frames });
         serial
     }
 
-    fn forget(&mut self, attempt: AttemptId, serial: u64) {
+    fn remove_stream(&mut self, attempt: AttemptId, serial: u64) {
         let is_same = self.streams.get(&attempt).is_some_and(|stream| stream.serial == serial);
         if is_same {
             self.streams.swap_remove(&attempt);
@@ -158,7 +158,7 @@
 }
 
 impl Reader {
-    fn pass_on(&self, frame: Frame) {
+    fn report_frame(&self, frame: Frame) {
         self.shared.report(LinkEvent::Frame { link: self.link, frame });
     }
 
@@ -188,7 +188,7 @@
             return;
         };
         let _ = self.commands.send(Command::Register { attempt, stream: send });
-        self.pass_on(first);
+        self.report_frame(first);
         let error = self.read_until_end(&mut stream).await;
         self.close_on_malformed(&error);
     }
@@ -196,7 +196,7 @@
     async fn read_until_end(&self, stream: &mut RecvStream) -> StreamError {
         loop {
             match read_frame(stream).await {
-                Ok(frame) => self.pass_on(frame),
+                Ok(frame) => self.report_frame(frame),
                 Err(error) => return error,
             }
         }
--- a/crates/runtime/src/link/dial.rs
+++ b/crates/runtime/src/link/dial.rs
@@ -13,12 +13,12 @@
 
 /// Opens a link in a task of its own.
 pub(super) fn open(shared: Arc<Shared>, link: LinkId, address: SocketAddr) {
-    let (sender, receiver) = shared.enter(link);
+    let (sender, receiver) = shared.insert(link);
     tokio::spawn(async move {
         let reason = match run(&shared, link, address, sender, receiver).await {
             Ok(reason) | Err(reason) => reason,
         };
-        shared.leave(link, reason);
+        shared.remove(link, reason);
     });
 }
 
@@ -34,7 +34,7 @@
     // each a port of its own.
     let endpoint = fresh_endpoint(shared, address).map_err(|error| error.to_string())?;
     let handshake =
-        tokio::time::timeout(HANDSHAKE_TIMEOUT, shake_hands(shared, &endpoint, address));
+        tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake_with(shared, &endpoint, address));
     let (connection, control, hello) =
         handshake.await.map_err(|_| "handshake timed out".to_owned())??;
     shared.report(LinkEvent::Opened { link, hello });
@@ -56,7 +56,7 @@
     Ok(endpoint)
 }
 
-async fn shake_hands(
+async fn handshake_with(
     shared: &Shared,
     endpoint: &Endpoint,
     address: SocketAddr,
--- a/crates/runtime/src/link/handshake.rs
+++ b/crates/runtime/src/link/handshake.rs
@@ -19,8 +19,8 @@
     connection: &Connection,
 ) -> Result<(Control, Hello), String> {
     let (mut send, mut recv) = connection.open_bi().await.map_err(|error| error.to_string())?;
-    say_hello(shared, &mut send).await?;
-    let hello = hear_hello(shared, connection, &mut recv).await?;
+    send_hello(shared, &mut send).await?;
+    let hello = receive_hello(shared, connection, &mut recv).await?;
     if matches!(hello.role, PeerRole::Agent { .. }) {
         Ok(((send, recv), hello))
     } else {
@@ -34,17 +34,17 @@
     connection: &Connection,
 ) -> Result<(Control, Hello), String> {
     let (mut send, mut recv) = connection.accept_bi().await.map_err(|error| error.to_string())?;
-    let hello = hear_hello(shared, connection, &mut recv).await?;
-    say_hello(shared, &mut send).await?;
+    let hello = receive_hello(shared, connection, &mut recv).await?;
+    send_hello(shared, &mut send).await?;
     Ok(((send, recv), hello))
 }
 
-async fn say_hello(shared: &Shared, send: &mut SendStream) -> Result<(), String> {
-    let own = Frame::Hello(shared.greet.hello());
+async fn send_hello(shared: &Shared, send: &mut SendStream) -> Result<(), String> {
+    let own = Frame::Hello(shared.hello_source.hello());
     write_frame(send, &own).await.map_err(|error| error.to_string())
 }
 
-async fn hear_hello(
+async fn receive_hello(
     shared: &Shared,
     connection: &Connection,
     recv: &mut RecvStream,
--- a/crates/runtime/src/link/listen.rs
+++ b/crates/runtime/src/link/listen.rs
@@ -25,7 +25,7 @@
     }
 
     /// Shows the present keys to links that are accepted from now on.
-    pub fn renew(&self) {
+    pub fn apply_keys(&self) {
         self.endpoint.set_server_config(Some(server_config(&self.shared)));
     }
 
@@ -54,7 +54,7 @@
 }
 
 async fn serve(shared: Arc<Shared>, incoming: Incoming) {
-    let handshake = tokio::time::timeout(HANDSHAKE_TIMEOUT, shake_hands(&shared, incoming));
+    let handshake = tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake_with(&shared, incoming));
     let (connection, control, hello) = match handshake.await {
         Ok(Ok(parts)) => parts,
         Ok(Err(reason)) => {
@@ -63,15 +63,15 @@
         }
         Err(_) => return,
     };
-    let link = shared.number_accepted();
-    let (sender, receiver) = shared.enter(link);
+    let link = shared.next_accepted_link();
+    let (sender, receiver) = shared.insert(link);
     shared.report(LinkEvent::Opened { link, hello });
     let task = ConnectionTask::new(Arc::clone(&shared), link, connection, sender);
     let reason = task.run(control, receiver).await;
-    shared.leave(link, reason);
+    shared.remove(link, reason);
 }
 
-async fn shake_hands(
+async fn handshake_with(
     shared: &Shared,
     incoming: Incoming,
 ) -> Result<(Connection, Control, Hello), String> {
--- a/crates/runtime/src/link/mod.rs
+++ b/crates/runtime/src/link/mod.rs
@@ -50,7 +50,7 @@
 }
 
 /// Gives the present greeting of this process.
-pub trait Greet: Send + Sync {
+pub trait HelloSource: Send + Sync {
     /// The greeting, with the stamp of the document in force now.
     fn hello(&self) -> Hello;
 }
@@ -64,7 +64,7 @@
 pub(crate) struct Shared {
     table: Mutex<IndexMap<LinkId, UnboundedSender<Command>>>,
     keys: Mutex<LinkKeys>,
-    greet: Arc<dyn Greet>,
+    hello_source: Arc<dyn HelloSource>,
     events: UnboundedSender<LinkEvent>,
     next_accepted: AtomicU64,
 }
@@ -72,12 +72,15 @@
 impl Links {
     /// Makes the table of links; events come out of the receiver.
     #[must_use]
-    pub fn new(keys: LinkKeys, greet: Arc<dyn Greet>) -> (Self, UnboundedReceiver<LinkEvent>) {
+    pub fn new(
+        keys: LinkKeys,
+        hello_source: Arc<dyn HelloSource>,
+    ) -> (Self, UnboundedReceiver<LinkEvent>) {
         let (events, receiver) = unbounded_channel();
         let shared = Shared {
             table: Mutex::default(),
             keys: Mutex::new(keys),
-            greet,
+            hello_source,
             events,
             next_accepted: AtomicU64::new(FIRST_ACCEPTED),
         };
@@ -116,7 +119,7 @@
     }
 
     /// Uses other keys for links that begin from now on.
-    pub fn renew(&self, keys: LinkKeys) {
+    pub fn replace_keys(&self, keys: LinkKeys) {
         *self.shared.keys.lock().unwrap_or_else(PoisonError::into_inner) = keys;
     }
 }
@@ -135,13 +138,13 @@
     }
 
     /// Enters a link in the table; its commands come out of the receiver.
-    fn enter(&self, link: LinkId) -> (UnboundedSender<Command>, UnboundedReceiver<Command>) {
+    fn insert(&self, link: LinkId) -> (UnboundedSender<Command>, UnboundedReceiver<Command>) {
         let (sender, receiver) = unbounded_channel();
         self.lock().insert(link, sender.clone());
         (sender, receiver)
     }
 
-    fn leave(&self, link: LinkId, reason: String) {
+    fn remove(&self, link: LinkId, reason: String) {
         self.lock().swap_remove(&link);
         self.report(LinkEvent::Closed { link, reason });
     }
@@ -154,7 +157,7 @@
         self.keys.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    fn number_accepted(&self) -> LinkId {
+    fn next_accepted_link(&self) -> LinkId {
         LinkId(self.next_accepted.fetch_add(1, Ordering::Relaxed))
     }
 }
--- a/crates/runtime/src/logs.rs
+++ b/crates/runtime/src/logs.rs
@@ -22,7 +22,9 @@
         .map_err(|error| LogsError(error.to_string()))?;
     logforth::starter_log::builder()
         .dispatch(|dispatch| {
-            dispatch.filter(filter.build()).append(Stderr::default().with_layout(OneLine::new()))
+            dispatch
+                .filter(filter.build())
+                .append(Stderr::default().with_layout(SingleLineLayout::new()))
         })
         .try_apply()
         .map_err(|error| LogsError(error.to_string()))
@@ -41,9 +43,9 @@
 /// operator would read what the caller wrote as the process's word. Here every control character
 /// and line separator becomes an escape.
 #[derive(Debug)]
-pub struct OneLine(LogfmtLayout);
+pub struct SingleLineLayout(LogfmtLayout);
 
-impl OneLine {
+impl SingleLineLayout {
     /// Makes the layout, with moments in UTC.
     #[must_use]
     pub fn new() -> Self {
@@ -51,13 +53,13 @@
     }
 }
 
-impl Default for OneLine {
+impl Default for SingleLineLayout {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Layout for OneLine {
+impl Layout for SingleLineLayout {
     fn format(
         &self,
         record: &Record<'_>,
--- a/crates/runtime/src/operators.rs
+++ b/crates/runtime/src/operators.rs
@@ -1,7 +1,7 @@
 //! What a process shows its operators over HTTP: status, metrics, audit trail, health.
 
 use crate::exposition::Exposition;
-use crate::trail::{Entry, Trail};
+use crate::trail::{Trail, TrailEntry};
 use hickorycross_config::Stamp;
 use hickorycross_core::{Incarnation, InstanceId};
 use rocket::http::{ContentType, Status as HttpStatus};
@@ -36,40 +36,40 @@
 }
 
 /// Shows a process.
-pub trait Inspect: Send + Sync {
+pub trait StatusSource: Send + Sync {
     /// Its state now.
     fn status(&self) -> Status;
 }
 
 /// What the operators' server reads from.
-pub struct Views {
+pub struct PageSources {
     /// The process.
-    pub inspect: Arc<dyn Inspect>,
+    pub status_source: Arc<dyn StatusSource>,
     /// Its audit trail.
     pub trail: Arc<Trail>,
     /// Its metrics.
     pub exposition: Exposition,
 }
 
-/// Mounts the views on a server.
+/// Mounts the sources on a server.
 #[must_use]
-pub fn mount(rocket: Rocket<Build>, views: Views) -> Rocket<Build> {
-    rocket.manage(views).mount("/", routes![status, metrics, audit, live, ready])
+pub fn mount(rocket: Rocket<Build>, sources: PageSources) -> Rocket<Build> {
+    rocket.manage(sources).mount("/", routes![status, metrics, audit, live, ready])
 }
 
 #[get("/status")]
-fn status(views: &State<Views>) -> Json<Status> {
-    Json(views.inspect.status())
+fn status(sources: &State<PageSources>) -> Json<Status> {
+    Json(sources.status_source.status())
 }
 
 #[get("/metrics")]
-fn metrics(views: &State<Views>) -> (ContentType, String) {
-    (ContentType::Plain, views.exposition.render())
+fn metrics(sources: &State<PageSources>) -> (ContentType, String) {
+    (ContentType::Plain, sources.exposition.render())
 }
 
 #[get("/audit?<since>")]
-fn audit(views: &State<Views>, since: Option<u64>) -> Json<Vec<Entry>> {
-    Json(views.trail.since(since.unwrap_or(0)))
+fn audit(sources: &State<PageSources>, since: Option<u64>) -> Json<Vec<TrailEntry>> {
+    Json(sources.trail.since(since.unwrap_or(0)))
 }
 
 #[get("/health/live")]
@@ -78,8 +78,8 @@
 }
 
 #[get("/health/ready")]
-fn ready(views: &State<Views>) -> (HttpStatus, &'static str) {
-    let status = views.inspect.status();
+fn ready(sources: &State<PageSources>) -> (HttpStatus, &'static str) {
+    let status = sources.status_source.status();
     if status.ready && !status.draining {
         (HttpStatus::Ok, "ready\n")
     } else {
--- a/crates/runtime/src/platform.rs
+++ b/crates/runtime/src/platform.rs
@@ -49,7 +49,7 @@
 
 /// How a process follows the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Follow {
+pub enum FollowMode {
     /// It keeps a watch open.
     Watch,
     /// It reads now and then; its peers tell it of changes.
@@ -83,7 +83,7 @@
 /// list.
 pub fn follow(
     base_url: &str,
-    follow: watch::Receiver<Follow>,
+    follow: watch::Receiver<FollowMode>,
     events: UnboundedSender<PlatformEvent>,
 ) {
     let config = Reader::new(base_url, "config", events.clone());
@@ -157,11 +157,11 @@
     tokio::time::sleep(Duration::from_millis(span_ms)).await;
 }
 
-async fn follow_config(mut reader: Reader, mut follow: watch::Receiver<Follow>) {
+async fn follow_config(mut reader: Reader, mut follow: watch::Receiver<FollowMode>) {
     let mut held: Option<u64> = None;
     loop {
         let mode = *follow.borrow_and_update();
-        let wait_ms = if mode == Follow::Watch { WATCH_MS } else { 0 };
+        let wait_ms = if mode == FollowMode::Watch { WATCH_MS } else { 0 };
         match reader.read::<ConfigAnswer>(held, wait_ms).await {
             Ok(answer) => {
                 reader.failures = 0;
@@ -176,7 +176,7 @@
                 }
                 if empty {
                     pause(FIRST_PAUSE_MS).await;
-                } else if mode == Follow::Poll {
+                } else if mode == FollowMode::Poll {
                     tokio::select! {
                         () = pause(POLL_MS) => {}
                         changed = follow.changed() => if changed.is_err() { return },
--- a/crates/runtime/src/security/authority.rs
+++ b/crates/runtime/src/security/authority.rs
@@ -94,7 +94,7 @@
     /// Only one half of the authority is there.
     #[error("{directory} holds only one of {AUTHORITY_FILE} and {AUTHORITY_KEY_FILE}")]
     #[diagnostic(help("restore the missing file, or choose another directory"))]
-    Half {
+    Incomplete {
         /// The directory.
         directory: String,
     },
@@ -115,14 +115,18 @@
     /// # Errors
     ///
     /// When a file cannot be read or written.
-    pub fn open_or_make(directory: &Path) -> Result<Self, AuthorityError> {
+    pub fn open_or_create(directory: &Path) -> Result<Self, AuthorityError> {
         std::fs::create_dir_all(directory).map_err(|cause| file_error(directory, cause))?;
         let certificate = directory.join(AUTHORITY_FILE);
         let key = directory.join(AUTHORITY_KEY_FILE);
         let key_pair = match (certificate.exists(), key.exists()) {
             (true, true) => read_key(&key)?,
             (false, false) => KeyPair::generate()?,
-            _ => return Err(AuthorityError::Half { directory: directory.display().to_string() }),
+            _ => {
+                return Err(AuthorityError::Incomplete {
+                    directory: directory.display().to_string(),
+                });
+            }
         };
         // The certificate is signed anew with the same key and name, so that what the authority
         // signed before stays valid.
--- a/crates/runtime/src/security/renewal.rs
+++ b/crates/runtime/src/security/renewal.rs
@@ -2,7 +2,7 @@
 
 use super::{KeyFiles, LinkKeys, LinkSecurity};
 use crate::clock::SteadyClock;
-use crate::operators::Inspect;
+use crate::operators::StatusSource;
 use crate::trail::Trail;
 use hickorycross_config::Digest;
 use hickorycross_core::audit::{AuditRecord, Change};
@@ -11,9 +11,9 @@
 use tokio::task::AbortHandle;
 
 /// Pause between two looks at the files.
-const LOOK_PAUSE: Duration = Duration::from_secs(2);
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 /// Between the contents of two files, so that no other split of the bytes gives the same digest.
-const BORDER: &[u8] = b"\0next file\0";
+const FILE_SEPARATOR: &[u8] = b"\0next file\0";
 
 /// Gives new keys to whatever opens and accepts links.
 pub trait UseKeys: Send + 'static {
@@ -22,11 +22,11 @@
 }
 
 /// What a renewal writes to and reads from.
-pub struct Surroundings {
+pub struct RenewalContext {
     /// Gets the audit record.
     pub trail: Arc<Trail>,
     /// Knows the document in force.
-    pub inspect: Arc<dyn Inspect>,
+    pub status_source: Arc<dyn StatusSource>,
     /// Gives the moment of the record.
     pub clock: SteadyClock,
 }
@@ -49,38 +49,38 @@
 /// see all its links fail at once, at the certificate's last moment. A file that cannot be used
 /// changes nothing: the keys before stay in use and an error is logged, once for each content.
 #[must_use]
-pub fn follow(
+pub fn watch(
     security: &LinkSecurity,
     target: Box<dyn UseKeys>,
-    surroundings: Surroundings,
+    context: RenewalContext,
 ) -> Renewal {
     let LinkSecurity::MutualTls(files) = security else {
         return Renewal(None);
     };
-    let follower = Follower { seen: digest(files), files: files.clone(), target, surroundings };
-    Renewal(Some(tokio::spawn(follower.run()).abort_handle()))
+    let watcher = FileWatcher { last_digest: digest(files), files: files.clone(), target, context };
+    Renewal(Some(tokio::spawn(watcher.run()).abort_handle()))
 }
 
-struct Follower {
+struct FileWatcher {
     files: KeyFiles,
-    seen: Option<Digest>,
+    last_digest: Option<Digest>,
     target: Box<dyn UseKeys>,
-    surroundings: Surroundings,
+    context: RenewalContext,
 }
 
-impl Follower {
+impl FileWatcher {
     async fn run(mut self) {
         loop {
-            tokio::time::sleep(LOOK_PAUSE).await;
-            let now = digest(&self.files);
-            if now != self.seen {
-                self.seen = now;
-                self.take_up();
+            tokio::time::sleep(CHECK_INTERVAL).await;
+            let current = digest(&self.files);
+            if current != self.last_digest {
+                self.last_digest = current;
+                self.reload();
             }
         }
     }
 
-    fn take_up(&self) {
+    fn reload(&self) {
         let subject = self.files.certificate_file.display().to_string();
         match LinkKeys::load(&LinkSecurity::MutualTls(self.files.clone())) {
             Ok(keys) => {
@@ -97,9 +97,9 @@
     }
 
     fn record(&self, subject: String) {
-        let Surroundings { trail, inspect, clock } = &self.surroundings;
+        let RenewalContext { trail, status_source, clock } = &self.context;
         let change = Change::KeyRenewed { subject };
-        trail.write(AuditRecord::new(clock.now().unix_ms, inspect.status().stamp, change));
+        trail.write(AuditRecord::new(clock.now().unix_ms, status_source.status().stamp, change));
     }
 }
 
@@ -108,7 +108,7 @@
     let mut all = Vec::new();
     for path in files.paths() {
         all.extend(std::fs::read(path).ok()?);
-        all.extend_from_slice(BORDER);
+        all.extend_from_slice(FILE_SEPARATOR);
     }
     Some(Digest::of(&all))
 }
--- a/crates/runtime/src/server.rs
+++ b/crates/runtime/src/server.rs
@@ -19,7 +19,7 @@
 /// finish.
 #[must_use]
 pub fn build(address: SocketAddr) -> Rocket<Build> {
-    build_with(address, None)
+    build_with_tls(address, None)
 }
 
 /// Files with the keys of a server.
@@ -34,7 +34,7 @@
 /// A server that has not been started, with TLS where files are given. Rocket reads the files once,
 /// at start.
 #[must_use]
-pub fn build_with(address: SocketAddr, tls: Option<TlsFiles<'_>>) -> Rocket<Build> {
+pub fn build_with_tls(address: SocketAddr, tls: Option<TlsFiles<'_>>) -> Rocket<Build> {
     let shutdown = Shutdown {
         ctrlc: false,
         signals: std::iter::empty().collect(),
@@ -57,12 +57,12 @@
 }
 
 /// A server that runs.
-pub struct Running {
+pub struct RunningServer {
     shutdown: ShutdownHandle,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Running {
+impl RunningServer {
     /// Makes it accept nothing new, and waits until its answers are out.
     pub async fn stop(self) {
         self.shutdown.notify();
@@ -83,7 +83,10 @@
 /// # Errors
 ///
 /// When the address cannot be bound or the routes collide.
-pub async fn start(address: SocketAddr, rocket: Rocket<Build>) -> Result<Running, ServeError> {
+pub async fn start(
+    address: SocketAddr,
+    rocket: Rocket<Build>,
+) -> Result<RunningServer, ServeError> {
     let failed = |cause: String| ServeError { address, cause };
     let (up, is_up) = tokio::sync::oneshot::channel();
     let up = std::sync::Mutex::new(Some(up));
@@ -105,7 +108,7 @@
         }
     });
     tokio::select! {
-        Ok(()) = is_up => Ok(Running { shutdown, task }),
+        Ok(()) = is_up => Ok(RunningServer { shutdown, task }),
         Ok(cause) = failure => Err(failed(cause)),
         else => Err(failed("it ended at once".to_owned())),
     }
--- a/crates/runtime/src/settings/mod.rs
+++ b/crates/runtime/src/settings/mod.rs
@@ -143,7 +143,9 @@
 
 /// Makes faults of the checks that failed: name of the field, what was found, whether it fits.
 #[must_use]
-pub fn failed<T: Settings, const N: usize>(checks: [(&str, String, bool); N]) -> Vec<Fault> {
+pub fn faults_of_checks<T: Settings, const N: usize>(
+    checks: [(&str, String, bool); N],
+) -> Vec<Fault> {
     let failed = checks.into_iter().filter(|(_, _, fits)| !fits);
     failed.map(|(name, found, _)| Fault::new(name, &found, allowed_of::<T>(name))).collect()
 }
--- a/crates/runtime/src/trail.rs
+++ b/crates/runtime/src/trail.rs
@@ -6,11 +6,11 @@
 use std::sync::{Mutex, PoisonError};
 
 /// Records that a process keeps; older ones stand in the log only.
-pub const KEPT_RECORDS: usize = 4096;
+pub const MAX_RECORDS: usize = 4096;
 
 /// A record with its place in the trail.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct TrailEntry {
     /// Counts the records of this process from 1.
     pub sequence: u64,
     /// Hash over the hash of the record before and this record, 16 hexadecimal digits.
@@ -21,7 +21,7 @@
 
 /// A gap or a changed record in a list of entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Break {
+pub enum TrailFault {
     /// Records between two neighbours are missing.
     Missing {
         /// The sequence that was expected.
@@ -44,7 +44,7 @@
 struct Kept {
     last_sequence: u64,
     last_hash: String,
-    entries: VecDeque<Entry>,
+    entries: VecDeque<TrailEntry>,
 }
 
 impl Trail {
@@ -53,11 +53,11 @@
         let mut kept = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let sequence = kept.last_sequence + 1;
         let hash = chain(&kept.last_hash, sequence, &record);
-        let entry = Entry { sequence, hash, record };
+        let entry = TrailEntry { sequence, hash, record };
         log_entry(&entry);
         kept.last_sequence = sequence;
         kept.last_hash.clone_from(&entry.hash);
-        if kept.entries.len() == KEPT_RECORDS {
+        if kept.entries.len() == MAX_RECORDS {
             kept.entries.pop_front();
         }
         kept.entries.push_back(entry);
@@ -65,7 +65,7 @@
 
     /// The kept entries from a sequence on, oldest first.
     #[must_use]
-    pub fn since(&self, sequence: u64) -> Vec<Entry> {
+    pub fn since(&self, sequence: u64) -> Vec<TrailEntry> {
         let kept = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         kept.entries.iter().filter(|entry| entry.sequence >= sequence).cloned().collect()
     }
@@ -74,17 +74,17 @@
 /// Checks that entries follow one another without a gap and that none was altered. The first one's
 /// own hash is taken on trust, because its predecessor may no longer be kept.
 #[must_use]
-pub fn check(entries: &[Entry]) -> Option<Break> {
+pub fn check(entries: &[TrailEntry]) -> Option<TrailFault> {
     entries.windows(2).find_map(|pair| check_pair(&pair[0], &pair[1]))
 }
 
-fn check_pair(before: &Entry, after: &Entry) -> Option<Break> {
+fn check_pair(before: &TrailEntry, after: &TrailEntry) -> Option<TrailFault> {
     let expected = before.sequence + 1;
     if after.sequence != expected {
-        return Some(Break::Missing { expected, found: after.sequence });
+        return Some(TrailFault::Missing { expected, found: after.sequence });
     }
     let hash = chain(&before.hash, after.sequence, &after.record);
-    (hash != after.hash).then_some(Break::Altered { sequence: after.sequence })
+    (hash != after.hash).then_some(TrailFault::Altered { sequence: after.sequence })
 }
 
 fn chain(previous: &str, sequence: u64, record: &AuditRecord) -> String {
@@ -94,7 +94,7 @@
     digest.to_string()
 }
 
-fn log_entry(entry: &Entry) {
+fn log_entry(entry: &TrailEntry) {
     let change = serde_json::to_string(&entry.record.change).unwrap_or_default();
     log::info!(
         target: "audit",
--- a/crates/runtime/src/view.rs
+++ b/crates/runtime/src/view.rs
@@ -1,20 +1,20 @@
 //! The state of a process as its operators and its peers see it.
 
 use crate::clock::SteadyClock;
-use crate::link::Greet;
-use crate::operators::{Inspect, Status};
+use crate::link::HelloSource;
+use crate::operators::{Status, StatusSource};
 use hickorycross_core::{Incarnation, InstanceId};
 use hickorycross_protocol::{Hello, PeerRole, VERSIONS};
 use std::sync::{Mutex, PoisonError};
 
 /// State shared between the driver, which writes it, and the servers, which show it.
-pub struct View {
+pub struct ProcessView {
     clock: SteadyClock,
     role: PeerRole,
     status: Mutex<Status>,
 }
 
-impl View {
+impl ProcessView {
     /// The state of a process that has just started.
     #[must_use]
     pub fn new(
@@ -48,7 +48,7 @@
     }
 }
 
-impl Inspect for View {
+impl StatusSource for ProcessView {
     fn status(&self) -> Status {
         let mut status = self.status.lock().unwrap_or_else(PoisonError::into_inner).clone();
         status.wall_offset_ms = self.clock.wall_offset_ms();
@@ -56,7 +56,7 @@
     }
 }
 
-impl Greet for View {
+impl HelloSource for ProcessView {
     fn hello(&self) -> Hello {
         let status = self.status.lock().unwrap_or_else(PoisonError::into_inner);
         Hello {
--- a/crates/runtime/tests/fleet.rs
+++ b/crates/runtime/tests/fleet.rs
@@ -43,15 +43,15 @@
 const CASES: [Case; 5] = [
     Case {
         name: "listed, never heard",
-        happens: |fleet| fleet.listed(UnixMs(1), &[listed("a")]),
+        happens: |fleet| fleet.update_instances(UnixMs(1), &[listed("a")]),
         known: true,
         heard: None,
     },
     Case {
         name: "heard twice",
         happens: |fleet| {
-            fleet.greeted(UnixMs(1), LINK, &hello("a", 4));
-            fleet.heard(UnixMs(9), LINK, stamp(5));
+            fleet.link_opened(UnixMs(1), LINK, &hello("a", 4));
+            fleet.record_stamp(UnixMs(9), LINK, stamp(5));
         },
         known: true,
         heard: Some((5, 9)),
@@ -59,10 +59,10 @@
     Case {
         name: "its link has ended, the list still names it",
         happens: |fleet| {
-            fleet.greeted(UnixMs(1), LINK, &hello("a", 4));
-            fleet.listed(UnixMs(2), &[listed("a")]);
-            fleet.closed(LINK);
-            fleet.heard(UnixMs(9), LINK, stamp(5));
+            fleet.link_opened(UnixMs(1), LINK, &hello("a", 4));
+            fleet.update_instances(UnixMs(2), &[listed("a")]);
+            fleet.link_closed(LINK);
+            fleet.record_stamp(UnixMs(9), LINK, stamp(5));
         },
         known: true,
         heard: Some((4, 1)),
@@ -70,10 +70,10 @@
     Case {
         name: "neither listed nor linked any more",
         happens: |fleet| {
-            fleet.listed(UnixMs(1), &[listed("a")]);
-            fleet.greeted(UnixMs(2), LINK, &hello("a", 4));
-            fleet.listed(UnixMs(3), &[listed("b")]);
-            fleet.closed(LINK);
+            fleet.update_instances(UnixMs(1), &[listed("a")]);
+            fleet.link_opened(UnixMs(2), LINK, &hello("a", 4));
+            fleet.update_instances(UnixMs(3), &[listed("b")]);
+            fleet.link_closed(LINK);
         },
         known: false,
         heard: None,
@@ -81,8 +81,8 @@
     Case {
         name: "no longer listed, its link is up",
         happens: |fleet| {
-            fleet.greeted(UnixMs(2), LINK, &hello("a", 4));
-            fleet.listed(UnixMs(3), &[listed("b")]);
+            fleet.link_opened(UnixMs(2), LINK, &hello("a", 4));
+            fleet.update_instances(UnixMs(3), &[listed("b")]);
         },
         known: true,
         heard: Some((4, 2)),
@@ -96,7 +96,8 @@
         (case.happens)(&fleet);
         let snapshot = fleet.snapshot();
         let process = snapshot.processes.get(&InstanceId::new("a"));
-        let heard = process.and_then(|one| one.heard).map(|one| (one.stamp.revision, one.at.0));
+        let heard =
+            process.and_then(|one| one.last_report).map(|one| (one.stamp.revision, one.at.0));
         expect_that!(process.is_some(), eq(case.known), "{}", case.name);
         expect_that!(heard, eq(case.heard), "{}", case.name);
     }
--- a/crates/runtime/tests/logs.rs
+++ b/crates/runtime/tests/logs.rs
@@ -1,7 +1,7 @@
 //! Lines of the log.
 
 use googletest::prelude::*;
-use hickorycross_runtime::logs::OneLine;
+use hickorycross_runtime::logs::SingleLineLayout;
 use logforth::layout::Layout;
 use logforth::record::{Level, Record};
 
@@ -22,7 +22,7 @@
     for value in values {
         let key_values = [(logforth::kv::Key::new("path"), logforth::kv::Value::str(value))];
         let builder = Record::builder().level(Level::Info).target("request");
-        let line = OneLine::new()
+        let line = SingleLineLayout::new()
             .format(
                 &builder.payload(format_args!("{value}")).key_values(key_values.as_slice()).build(),
                 &[],
--- a/crates/runtime/tests/platform_reads.rs
+++ b/crates/runtime/tests/platform_reads.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use hickorycross_core::{Instance, InstanceId, InstanceState, Role};
-use hickorycross_runtime::platform::{Follow, PlatformEvent, follow};
+use hickorycross_runtime::platform::{FollowMode, PlatformEvent, follow};
 use hickorycross_standins::PlatformStandIn;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::sync::watch;
@@ -44,19 +44,19 @@
     let platform = PlatformStandIn::start().await.or_fail()?;
     platform.publish("first").or_fail()?;
     let (sender, mut events) = unbounded_channel();
-    let (mode, receiver) = watch::channel(Follow::Poll);
+    let (mode, receiver) = watch::channel(FollowMode::Poll);
     follow(&format!("http://{}", platform.address()), receiver, sender);
     verify_that!(next_revision(&mut events).await, eq(1))?;
     for polls in 1..=3 {
         // The same mode again: the next poll comes at once.
-        mode.send(Follow::Poll).or_fail()?;
+        mode.send(FollowMode::Poll).or_fail()?;
         while platform.read_counts().config_watch < polls {
             tokio::task::yield_now().await;
         }
     }
     expect_that!(platform.read_counts().config, eq(1));
     platform.publish("second").or_fail()?;
-    mode.send(Follow::Poll).or_fail()?;
+    mode.send(FollowMode::Poll).or_fail()?;
     expect_that!(next_revision(&mut events).await, eq(2));
     expect_that!(platform.read_counts().config, eq(1));
     Ok(())
@@ -71,7 +71,7 @@
     let platform = PlatformStandIn::start().await.or_fail()?;
     platform.set_instances(instances(1));
     let (sender, mut events) = unbounded_channel();
-    let (_mode, receiver) = watch::channel(Follow::Watch);
+    let (_mode, receiver) = watch::channel(FollowMode::Watch);
     follow(&format!("http://{}", platform.address()), receiver, sender);
     verify_that!(next_list(&mut events).await, eq(1))?;
     for count in 2..=9 {
--- a/crates/runtime/tests/trail.rs
+++ b/crates/runtime/tests/trail.rs
@@ -4,7 +4,7 @@
 use hickorycross_config::Stamp;
 use hickorycross_core::UnixMs;
 use hickorycross_core::audit::{Actor, AuditRecord, Change};
-use hickorycross_runtime::trail::{Break, Entry, KEPT_RECORDS, Trail, check};
+use hickorycross_runtime::trail::{MAX_RECORDS, Trail, TrailEntry, TrailFault, check};
 
 const RECORDS: u64 = 6;
 
@@ -21,8 +21,8 @@
 /// A trail that was tampered with, and what is found.
 struct Case {
     name: &'static str,
-    tamper: fn(&mut Vec<Entry>),
-    found: Option<Break>,
+    tamper: fn(&mut Vec<TrailEntry>),
+    found: Option<TrailFault>,
 }
 
 const CASES: [Case; 6] = [
@@ -32,7 +32,7 @@
         tamper: |entries| {
             entries.remove(3);
         },
-        found: Some(Break::Missing { expected: 4, found: 5 }),
+        found: Some(TrailFault::Missing { expected: 4, found: 5 }),
     },
     Case {
         name: "a record is missing and the rest was numbered anew",
@@ -40,22 +40,22 @@
             entries.remove(3);
             (1..).zip(entries).for_each(|(number, entry)| entry.sequence = number);
         },
-        found: Some(Break::Altered { sequence: 4 }),
+        found: Some(TrailFault::Altered { sequence: 4 }),
     },
     Case {
         name: "another actor",
         tamper: |entries| entries[2].record.actor = Actor::System,
-        found: Some(Break::Altered { sequence: 3 }),
+        found: Some(TrailFault::Altered { sequence: 3 }),
     },
     Case {
         name: "another time",
         tamper: |entries| entries[4].record.at = UnixMs(9),
-        found: Some(Break::Altered { sequence: 5 }),
+        found: Some(TrailFault::Altered { sequence: 5 }),
     },
     Case {
         name: "two records swapped",
         tamper: |entries| entries.swap(1, 2),
-        found: Some(Break::Missing { expected: 2, found: 3 }),
+        found: Some(TrailFault::Missing { expected: 2, found: 3 }),
     },
 ];
 
@@ -76,9 +76,9 @@
 
 #[gtest]
 fn oldest_records_give_way_without_a_gap() -> googletest::Result<()> {
-    let written = KEPT_RECORDS as u64 + 10;
+    let written = MAX_RECORDS as u64 + 10;
     let entries = trail(written).since(0);
-    expect_that!(entries.len(), eq(KEPT_RECORDS));
+    expect_that!(entries.len(), eq(MAX_RECORDS));
     expect_that!(entries[0].sequence, eq(11));
     expect_that!(check(&entries), none());
     Ok(())
