--- a/crates/runtime/src/fleet.rs
+++ b/crates/runtime/src/fleet.rs
@@ -1,7 +1,8 @@
-//! What a process has heard of the other processes of its fleet, with the moment of hearing.
+//! A table of the other processes of the fleet, with the time of the last report from each.
 //!
-//! Nothing is asked for on purpose: greetings, announcements and heartbeats carry a stamp anyway.
-//! Whoever shows this must show its age, because a process that has gone says nothing of it.
+//! The table sends no requests of its own: it is filled from the platform's instance list and from
+//! the stamps that hellos, announcements and heartbeats contain anyway. A process that has stopped
+//! sends no notice, so whatever displays an entry has to display its age as well.
 
 use hickorycross_config::{FailureDomainId, ModelGroupId, Stamp};
 use hickorycross_core::{Incarnation, Instance, InstanceId, InstanceState, LinkId, Role, UnixMs};
@@ -11,15 +12,15 @@
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
 
-/// Samples of step-time skew that are kept for a group.
+/// Maximum number of step-time skew samples that are kept for a group.
 pub const MAX_SKEW_SAMPLES: usize = 120;
 
-/// A process that the platform lists or that was heard of.
+/// A process that the platform lists or that has sent a report on a link.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Process {
-    /// What the platform's list says; none once it no longer names the instance.
+    /// Its row in the platform's instance list; none if the latest list does not contain it.
     pub listed: Option<InstanceListing>,
-    /// What the process said of itself; none before its first word.
+    /// Its latest report; none before the first.
     #[serde(rename = "heard")]
     pub last_report: Option<LastReport>,
 }
@@ -27,46 +28,47 @@
 /// A row of the platform's instance list.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct InstanceListing {
-    /// What the instance is for.
+    /// The role of the instance.
     pub role: Role,
-    /// Where it stands.
+    /// The failure domain of the instance.
     pub failure_domain: FailureDomainId,
-    /// Whether it is leaving.
+    /// Whether the instance is live or leaving.
     pub state: InstanceState,
-    /// When the list came.
+    /// Time at which the list was received.
     pub at: UnixMs,
 }
 
-/// The latest word of a process.
+/// The latest report that a process sent on a link.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct LastReport {
-    /// Its incarnation.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
-    /// The document that it held.
+    /// The stamp of the document in force there.
     pub stamp: Stamp,
-    /// When it was heard.
+    /// Time at which the report was received.
     pub at: UnixMs,
 }
 
-/// Step-time skew of one group over a window of steps.
+/// The step-time skew of one group over a window of steps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct SkewSample {
-    /// When the report came.
+    /// Time at which the measurement was reported.
     pub at: UnixMs,
     /// Mean spread between the slowest and the fastest rank, in microseconds.
     pub skew_us: u64,
 }
 
-/// A copy of what is known, for one page.
+/// A copy of the table at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct FleetSnapshot {
-    /// Every listed or heard process.
+    /// Every process that is listed or has sent a report.
     pub processes: IndexMap<InstanceId, Process>,
-    /// Skew by group, oldest first.
+    /// Samples of skew by group, oldest first.
     pub skew: IndexMap<ModelGroupId, VecDeque<SkewSample>>,
 }
 
-/// What was heard, shared between the driver and the pages.
+/// The table of processes, shared between the driver, which updates it, and the console's pages,
+/// which display it.
 #[derive(Debug, Default)]
 pub struct Fleet(Mutex<Table>);
 
@@ -83,7 +85,8 @@
 }
 
 impl Fleet {
-    /// Takes the platform's list in; forgets who is neither listed nor linked.
+    /// Takes the platform's instance list and removes processes that are neither listed nor
+    /// connected by a link.
     pub fn update_instances(&self, at: UnixMs, instances: &[Instance]) {
         let mut table = self.lock();
         for process in table.snapshot.processes.values_mut() {
@@ -101,7 +104,7 @@
         table.remove_departed();
     }
 
-    /// Learns who is at the other end of a link.
+    /// Records the process at the other end of a new link, and the stamp in its hello.
     pub fn link_opened(&self, at: UnixMs, link: LinkId, hello: &Hello) {
         let peer = Peer { instance: hello.instance.clone(), incarnation: hello.incarnation };
         let mut table = self.lock();
@@ -109,19 +112,21 @@
         table.record_stamp(at, link, hello.stamp);
     }
 
-    /// Learns what the other end of a link holds.
+    /// Records the stamp of the document in force at the other end of a link; does nothing for an
+    /// unknown link.
     pub fn record_stamp(&self, at: UnixMs, link: LinkId, stamp: Stamp) {
         self.lock().record_stamp(at, link, stamp);
     }
 
-    /// Learns that a link has ended; what was heard on it stays, and ages.
+    /// Removes a link that has ended. The last report of its process stays while the process is
+    /// listed.
     pub fn link_closed(&self, link: LinkId) {
         let mut table = self.lock();
         table.links.swap_remove(&link);
         table.remove_departed();
     }
 
-    /// Takes a group's skew in.
+    /// Records a sample of a group's skew; the oldest one is dropped at [`MAX_SKEW_SAMPLES`].
     pub fn record_skew(&self, group: &ModelGroupId, sample: SkewSample) {
         let mut table = self.lock();
         let samples = table.snapshot.skew.entry(group.clone()).or_default();
@@ -131,7 +136,7 @@
         samples.push_back(sample);
     }
 
-    /// Copies what is known.
+    /// Returns a copy of the table.
     #[must_use]
     pub fn snapshot(&self) -> FleetSnapshot {
         self.lock().snapshot.clone()
@@ -149,10 +154,10 @@
         process.last_report = Some(LastReport { incarnation: peer.incarnation, stamp, at });
     }
 
-    /// Drops who is neither listed nor at the end of a link.
+    /// Removes processes that are neither listed nor connected by a link.
     ///
-    /// Instances are replaced all day under new names: kept for good, the table would grow without
-    /// bound; one would see memory rise with the age of the process.
+    /// Instances are continually replaced by ones with new names. If none were removed, the table
+    /// and the memory of the process would grow without bound.
     fn remove_departed(&mut self) {
         let Self { snapshot, links } = self;
         snapshot.processes.retain(|instance, process| {
--- a/crates/runtime/src/follower.rs
+++ b/crates/runtime/src/follower.rs
@@ -1,8 +1,9 @@
-//! Follows the configuration on behalf of a driver.
+//! Keeps a process on the newest configuration document.
 //!
-//! Both programs hear of documents from the platform and from their peers, pass them on, and keep
-//! from serving until a few peers have been heard. The decisions are the core's; this carries them
-//! out and hands each adopted document to the driver.
+//! Entries and agents receive documents from the platform and from their peers, pass them on to
+//! other peers, and do not serve until a few peers have told them which document they hold. The
+//! core decides ([`Exchange`], [`StartGate`]); [`ConfigFollower`] carries the decisions out on
+//! links and hands each adopted document to the driver.
 
 use crate::link::Links;
 use crate::platform::{FollowMode, PlatformEvent};
@@ -15,26 +16,26 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// What a follower acts on.
+/// The parts of the process that a [`ConfigFollower`] uses.
 pub struct FollowerParts {
-    /// The process's own instance.
+    /// The instance of this process.
     pub own: InstanceId,
     /// The first of [`StartGate::link_count`] link numbers that nothing else uses.
     pub first_gate_link: LinkId,
-    /// Reaches the peers.
+    /// The links to the peers.
     pub links: Links,
-    /// Shows the stamps in force and refused.
+    /// Receives the stamps of the document in force and of the refused one.
     pub view: Arc<ProcessView>,
-    /// Takes the audit records.
+    /// Receives the audit records.
     pub trail: Arc<Trail>,
-    /// Tells the reader of the platform how to follow.
+    /// Sets how [`platform::follow`](crate::platform::follow) reads the configuration service.
     pub follow_mode: watch::Sender<FollowMode>,
 }
 
-/// What a follower learnt that concerns the driver's core.
+/// A change of the configuration that the driver passes to its core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigUpdate {
-    /// A document is in force from now on. The driver hands it to its core and then calls
+    /// A document has come into force. The driver passes it to its core and then calls
     /// [`ConfigFollower::announce`].
     Adopted {
         /// Its stamp.
@@ -42,26 +43,27 @@
         /// Its content.
         document: Arc<Document>,
     },
-    /// A peer holds this document under the very revision that is in force here.
+    /// A peer holds this document under the revision that is in force here, with another content.
     Conflict(Arc<Document>),
 }
 
-/// Follows the configuration: exchanges documents with peers and runs the start gate.
+/// Exchanges configuration documents with peers and runs the start gate.
 ///
-/// What it is told may put one document in force, or show a rival of it; that is returned.
+/// The methods that take an event return a [`ConfigUpdate`] if the event put a document in force or
+/// revealed a conflicting one.
 pub struct ConfigFollower {
     parts: FollowerParts,
     exchange: Exchange,
     gate: StartGate,
     offers: OfferCache,
-    /// Whether it is among the few that watch the platform's service.
+    /// Whether this process is one of the few that watch the platform's service.
     is_watcher: bool,
-    /// What was adopted and not announced yet.
+    /// The stamp of an adopted document that has not been announced to the peers yet.
     unannounced: Option<Stamp>,
 }
 
 impl ConfigFollower {
-    /// A follower without a document, its gate closed.
+    /// Creates a follower without a document and with a closed start gate.
     #[must_use]
     pub fn new(parts: FollowerParts) -> Self {
         Self {
@@ -80,26 +82,30 @@
         self.exchange.in_force().is_some()
     }
 
-    /// The stamp of the document in force, [`Stamp::NONE`] before the first.
+    /// Returns the stamp of the document in force, [`Stamp::NONE`] before the first.
     #[must_use]
     pub fn stamp(&self) -> Stamp {
         self.exchange.stamp()
     }
 
-    /// Whether enough peers have been heard to serve.
+    /// Whether the start gate allows serving.
+    ///
+    /// The gate opens when enough peers have sent their stamp or the wait for them has timed out.
     #[must_use]
     pub fn is_gate_open(&self, now: Now) -> bool {
         self.gate.is_open(now)
     }
 
-    /// Whether the link was opened for the start gate; the core knows nothing of such links.
+    /// Whether a link was opened for the start gate. The core of the driver does not know such
+    /// links.
     #[must_use]
     pub fn is_gate_link(&self, link: LinkId) -> bool {
         self.gate.owns(link)
     }
 
-    /// Repeats lost requests and closes links of the gate; to be called several times a second.
-    #[must_use = "the core has to hear of the document"]
+    /// Repeats unanswered requests for documents and closes links that the start gate no longer
+    /// needs; to be called several times a second.
+    #[must_use = "the driver must pass the update to its core"]
     pub fn tick(&mut self, now: Now) -> Option<ConfigUpdate> {
         let actions = self.exchange.tick(now);
         let update = self.apply_actions(actions);
@@ -107,16 +113,16 @@
         update
     }
 
-    /// Forgets a link that has ended.
-    #[must_use = "the core has to hear of the document"]
+    /// Handles the end of a link.
+    #[must_use = "the driver must pass the update to its core"]
     pub fn link_closed(&mut self, now: Now, link: LinkId) -> Option<ConfigUpdate> {
         self.gate.link_closed(link);
         let actions = self.exchange.link_closed(now, link);
         self.apply_actions(actions)
     }
 
-    /// Learns from a greeting what is in force at a peer.
-    #[must_use = "the core has to hear of the document"]
+    /// Handles the hello of a peer, which contains the stamp of the document in force there.
+    #[must_use = "the driver must pass the update to its core"]
     pub fn receive_hello(&mut self, now: Now, link: LinkId, stamp: Stamp) -> Option<ConfigUpdate> {
         let update = self.learn_peer_stamp(now, link, stamp);
         if self.gate.owns(link) {
@@ -126,8 +132,8 @@
         update
     }
 
-    /// Learns from a heartbeat or an announcement what is in force at a peer.
-    #[must_use = "the core has to hear of the document"]
+    /// Handles the stamp of the document in force at a peer, from a heartbeat or an announcement.
+    #[must_use = "the driver must pass the update to its core"]
     pub fn learn_peer_stamp(
         &mut self,
         now: Now,
@@ -138,9 +144,9 @@
         self.apply_actions(actions)
     }
 
-    /// Takes a frame that is not the driver's own; one that is not about the configuration is
-    /// unexpected and is logged.
-    #[must_use = "the core has to hear of the document"]
+    /// Handles a frame that the driver does not handle itself. A frame that does not concern the
+    /// configuration is unexpected and is logged.
+    #[must_use = "the driver must pass the update to its core"]
     pub fn receive_frame(&mut self, now: Now, link: LinkId, frame: &Frame) -> Option<ConfigUpdate> {
         match frame {
             Frame::Announce(stamp) => self.learn_peer_stamp(now, link, *stamp),
@@ -160,8 +166,8 @@
         }
     }
 
-    /// Learns what the platform says.
-    #[must_use = "the core has to hear of the document"]
+    /// Handles an event from the platform.
+    #[must_use = "the driver must pass the update to its core"]
     pub fn receive_platform_event(
         &mut self,
         now: Now,
@@ -183,9 +189,10 @@
         }
     }
 
-    /// Tells every peer of the adopted document; to be called when the core has adopted it.
+    /// Announces the adopted document to every peer; to be called when the core has adopted it.
     ///
-    /// The links of the gate are settled only now, so that their peers are told too.
+    /// Links of the start gate are closed only after that, so that their peers receive the
+    /// announcement too.
     pub fn announce(&mut self) {
         if let Some(stamp) = self.unannounced.take() {
             self.parts.links.broadcast(&Frame::Announce(stamp));
@@ -200,7 +207,7 @@
                 self.apply_actions(actions)
             }
             Err(error) => {
-                log::warn!(target: "link", error:% = error; "unusable offer");
+                log::warn!(target: "link", error:% = error; "cannot decode a document from a peer");
                 None
             }
         };
@@ -218,26 +225,27 @@
         }
     }
 
-    /// Chooses how to follow the platform.
+    /// Chooses between watching and polling the platform.
     ///
-    /// A process without a document watches too. It may have started behind a cut, or beside an
-    /// invalid document, and have no link on which a peer could tell it of a change: one would see
-    /// it stay out of service until its next poll, half a minute after all else is well.
+    /// A process without a document watches even if it is not one of the watchers. It may have
+    /// started during a network partition, or while the published document was invalid, and have
+    /// no link on which a peer could announce a change. With polling, it would stay out of service
+    /// until its next poll, although the fault has ended.
     fn update_follow_mode(&self) {
         let should_watch = self.is_watcher || !self.has_document();
         let chosen = if should_watch { FollowMode::Watch } else { FollowMode::Poll };
         self.parts.follow_mode.send_if_modified(|mode| std::mem::replace(mode, chosen) != chosen);
     }
 
-    /// Closes the links of the start gate from which nothing newer is to come.
+    /// Closes links of the start gate whose peers have answered and owe no newer document.
     fn close_finished_gate_links(&mut self) {
         for link in self.gate.finish_peers(|link| self.exchange.awaits_document_from(link)) {
             self.parts.links.close(link);
         }
     }
 
-    /// Carries out what the exchange wants; one call of the exchange adopts one document at most,
-    /// or shows one rival.
+    /// Carries out the actions of one call of the exchange, which contain at most one adopted or
+    /// conflicting document.
     fn apply_actions(&mut self, actions: Vec<ExchangeAction>) -> Option<ConfigUpdate> {
         let mut update = None;
         for action in actions {
@@ -248,7 +256,7 @@
                     update = Some(ConfigUpdate::Adopted { stamp, document });
                 }
                 ExchangeAction::Conflict(document) => {
-                    update = Some(ConfigUpdate::Conflict(document))
+                    update = Some(ConfigUpdate::Conflict(document));
                 }
                 ExchangeAction::Announce { link, stamp } => {
                     self.parts.links.send(link, Frame::Announce(stamp));
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,14 +1,17 @@
-//! What both hickorycross programs share around the core.
+//! Runtime services that both programs, the entry and the agent, build around the core.
 //!
-//! - [`clock`] gives the core its moments.
-//! - [`settings`] reads a program's settings file and points at what is wrong in it.
-//! - [`logs`] and [`trail`] write one line for each event; [`exposition`] serves metrics.
-//! - [`security`] holds the keys of links; [`link`] carries frames between processes.
-//! - [`view`] holds the state that peers and operators see, [`fleet`] what was heard of others.
-//! - [`command`] holds the commands that both programs have.
-//! - [`server`] sets up HTTP servers; [`operators`] shows a process to its operators.
-//! - [`platform`] reads the platform's configuration service and instance list; [`follower`]
-//!   follows the configuration with it and with the peers.
+//! - [`clock`] provides the time that the core works with.
+//! - [`settings`] loads a program's settings file and reports every fault with its position.
+//! - [`logs`] writes log lines, [`trail`] keeps the audit trail, and [`exposition`] renders
+//!   metrics.
+//! - [`security`] loads the keys of links; [`link`] carries frames between processes.
+//! - [`view`] holds the state of this process that peers and operators can see, and [`fleet`] what
+//!   it knows about other processes.
+//! - [`command`] contains the subcommands that both programs have.
+//! - [`server`] starts HTTP servers; [`operators`] serves the operators' endpoints.
+//! - [`platform`] reads the platform's configuration service and instance list; [`follower`] keeps
+//!   the process on the newest document from the platform and from its peers.
+//! - [`signals`] receives the signals that stop a process.
 
 pub mod clock;
 pub mod command;
--- a/crates/runtime/src/platform.rs
+++ b/crates/runtime/src/platform.rs
@@ -1,6 +1,6 @@
-//! Reads the platform's configuration service and instance list. Nothing is ever written to them.
+//! Reads the platform's configuration service and instance list, and never writes to them.
 //!
-//! The protocol is the platform's; docs/PLATFORM.md describes it.
+//! The platform defines the protocol; docs/PLATFORM.md describes it.
 
 use hickorycross_core::Instance;
 use hickorycross_core::adoption::Published;
@@ -10,49 +10,53 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
 
-/// Longest time that one watch is left open.
+/// Time that the platform may hold one watch (a long poll) open before it answers.
 const WATCH_MS: u64 = 10_000;
-/// A read that takes longer is given up, and its connection with it; a watch may last its time
-/// and this.
+/// Timeout of a read, after which its connection is dropped too. A watch may take this long on top
+/// of its own waiting time.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a failed read, and its upper bound as failures follow one another.
+/// Base of the pause after failed reads, which doubles with each failure up to [`MAX_PAUSE_MS`];
+/// also the longest pause while nothing has been published yet.
 const FIRST_PAUSE_MS: u64 = 200;
-const LONGEST_PAUSE_MS: u64 = 5_000;
-/// Longest pause between the reads of a process that does not watch.
+/// Longest pause after a failed read.
+const MAX_PAUSE_MS: u64 = 5_000;
+/// Longest pause between two polls of a process that does not watch.
 ///
-/// A process without a link to one that has heard of a change, such as an agent whose entries are
-/// all idle, learns of it by its own read alone. Were that read later than the time in which a
-/// change has to be in force everywhere, a few processes would serve on the old document; one would
-/// see two revisions in the fleet's view. 1,300 such reads cost the platform about 290 a second.
+/// A process without a link to one that already holds a new document, such as an agent whose
+/// entries are all idle, receives it only by its own poll. If that came later than the time within
+/// which a change has to be in force everywhere, a few processes would keep serving with the old
+/// document, and the fleet view would show two revisions. 1,300 polling processes send the platform
+/// about 290 reads per second.
 const POLL_MS: u64 = 6_000;
-/// Longest pause between two watches of the instance list after a change of it.
+/// Longest pause before the instance list is watched again after a change.
 ///
-/// The whole fleet watches the list. Were each watch renewed at once, every change would cost one
-/// read of every process in the same moment, and the changes of a failing rack or of an upgrade
-/// would add up beyond the platform's rate; one would see status 429 for reads of the document
-/// too. The pause spreads the reads and joins changes that follow one another.
+/// Every process of the fleet watches the list. If watches were renewed immediately, each change
+/// would cause one read by every process at the same moment. The many changes during a rack failure
+/// or an upgrade would exceed the platform's rate limit, and reads of the document would be
+/// answered with status 429 as well. The pause spreads the reads and combines changes in quick
+/// succession into one read.
 const LIST_PAUSE_MS: u64 = 4_000;
 
-/// What the platform says.
+/// A result of reading the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlatformEvent {
-    /// A published document.
+    /// A document has been published.
     Config(Published),
-    /// The instance list.
+    /// The instance list has changed.
     Instances(Vec<Instance>),
     /// A read failed.
     Unreachable {
-        /// Why.
+        /// What was read and the error.
         detail: String,
     },
 }
 
-/// How a process follows the configuration.
+/// How a process reads the platform's configuration service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowMode {
-    /// It keeps a watch open.
+    /// By a watch that is always open.
     Watch,
-    /// It reads now and then; its peers tell it of changes.
+    /// By a poll every few seconds; peers usually announce changes earlier.
     Poll,
 }
 
@@ -77,49 +81,54 @@
     Status(u16),
 }
 
-/// Follows the platform until the receiver of the events is dropped.
+/// Reads the platform and sends events until their receiver is dropped.
 ///
-/// One task reads the configuration, as `follow` says at the moment; another watches the instance
-/// list.
+/// Spawns one task that reads the configuration in the current `mode` and another that watches the
+/// instance list.
 pub fn follow(
     base_url: &str,
-    follow: watch::Receiver<FollowMode>,
+    mode: watch::Receiver<FollowMode>,
     events: UnboundedSender<PlatformEvent>,
 ) {
     let config = Reader::new(base_url, "config", events.clone());
-    tokio::spawn(follow_config(config, follow));
+    tokio::spawn(follow_config(config, mode));
     let instances = Reader::new(base_url, "instances", events);
     tokio::spawn(follow_instances(instances));
 }
 
 struct Reader {
     base_url: String,
-    what: &'static str,
+    resource: &'static str,
     client: reqwest::Client,
     events: UnboundedSender<PlatformEvent>,
     failures: u32,
 }
 
 impl Reader {
-    fn new(base_url: &str, what: &'static str, events: UnboundedSender<PlatformEvent>) -> Self {
+    fn new(base_url: &str, resource: &'static str, events: UnboundedSender<PlatformEvent>) -> Self {
         let base_url = base_url.trim_end_matches('/').to_owned();
-        Self { base_url, what, client: fresh_client(), events, failures: 0 }
+        Self { base_url, resource, client: new_client(), events, failures: 0 }
     }
 
-    /// Reads once: at once without `after`, else when something newer is there. Nothing newer
-    /// within `wait_ms` gives `None`.
+    /// Reads the resource once.
     ///
-    /// A poll passes what is held and waits for nothing: reading the whole document each time
-    /// would cost more than all other control traffic of a process together.
+    /// Without `after`, the platform answers immediately. Otherwise it answers as soon as there is
+    /// a revision newer than `after`, or `None` after `wait_ms` without one.
+    ///
+    /// A poll passes the revision it already has as `after` and a wait of zero. Reading the whole
+    /// document each time would cost more than all other control traffic of a process together.
     async fn read<T: serde::de::DeserializeOwned>(
         &self,
         after: Option<u64>,
         wait_ms: u64,
     ) -> Result<Option<T>, ReadError> {
         let (url, timeout) = match after {
-            None => (format!("{}/v1/{}", self.base_url, self.what), READ_TIMEOUT),
+            None => (format!("{}/v1/{}", self.base_url, self.resource), READ_TIMEOUT),
             Some(after) => (
-                format!("{}/v1/{}/watch?after={after}&wait_ms={wait_ms}", self.base_url, self.what),
+                format!(
+                    "{}/v1/{}/watch?after={after}&wait_ms={wait_ms}",
+                    self.base_url, self.resource
+                ),
                 READ_TIMEOUT + Duration::from_millis(wait_ms),
             ),
         };
@@ -131,55 +140,56 @@
         }
     }
 
-    /// Reports a failure and waits before the next try.
+    /// Waits before the next attempt and reports the failure; returns false if nobody receives
+    /// events any more.
     ///
-    /// The connection is not used again: a middlebox may have forgotten it, so that every read on
-    /// it would time out while new connections work; one would see reads fail for minutes beside a
-    /// healthy platform. A new client opens a new connection.
+    /// A new client replaces the old one, so that the connection is not reused. A middlebox may
+    /// have dropped its state for that connection, and every read on it would time out for minutes
+    /// although the platform is healthy and new connections work.
     async fn back_off(&mut self, error: &ReadError) -> bool {
-        self.client = fresh_client();
+        self.client = new_client();
         self.failures = self.failures.saturating_add(1);
-        let detail = format!("{}: {error}", self.what);
+        let detail = format!("{}: {error}", self.resource);
         let doubled = FIRST_PAUSE_MS.saturating_mul(1 << self.failures.min(6));
-        pause(doubled.min(LONGEST_PAUSE_MS)).await;
+        pause(doubled.min(MAX_PAUSE_MS)).await;
         self.events.send(PlatformEvent::Unreachable { detail }).is_ok()
     }
 }
 
-fn fresh_client() -> reqwest::Client {
+fn new_client() -> reqwest::Client {
     reqwest::Client::builder().no_proxy().build().unwrap_or_default()
 }
 
-/// Waits between half and all of a span, so that processes that failed together do not come back
-/// together.
+/// Waits for a random time between half of `longest_ms` and `longest_ms`, so that processes whose
+/// reads failed at the same moment do not retry at the same moment.
 async fn pause(longest_ms: u64) {
     let span_ms = rand::rng().random_range(longest_ms / 2..=longest_ms);
     tokio::time::sleep(Duration::from_millis(span_ms)).await;
 }
 
-async fn follow_config(mut reader: Reader, mut follow: watch::Receiver<FollowMode>) {
-    let mut held: Option<u64> = None;
+async fn follow_config(mut reader: Reader, mut modes: watch::Receiver<FollowMode>) {
+    let mut held_revision: Option<u64> = None;
     loop {
-        let mode = *follow.borrow_and_update();
+        let mode = *modes.borrow_and_update();
         let wait_ms = if mode == FollowMode::Watch { WATCH_MS } else { 0 };
-        match reader.read::<ConfigAnswer>(held, wait_ms).await {
+        match reader.read::<ConfigAnswer>(held_revision, wait_ms).await {
             Ok(answer) => {
                 reader.failures = 0;
-                let empty = answer.is_none() && held.is_none();
+                let is_unpublished = answer.is_none() && held_revision.is_none();
                 if let Some(answer) = answer {
-                    held = Some(answer.revision);
+                    held_revision = Some(answer.revision);
                     let bytes = answer.document.into_bytes().into();
                     let offer = Published { revision: answer.revision, bytes };
                     if reader.events.send(PlatformEvent::Config(offer)).is_err() {
                         return;
                     }
                 }
-                if empty {
+                if is_unpublished {
                     pause(FIRST_PAUSE_MS).await;
                 } else if mode == FollowMode::Poll {
                     tokio::select! {
                         () = pause(POLL_MS) => {}
-                        changed = follow.changed() => if changed.is_err() { return },
+                        changed = modes.changed() => if changed.is_err() { return },
                     }
                 }
             }
@@ -193,18 +203,18 @@
 }
 
 async fn follow_instances(mut reader: Reader) {
-    let mut held: Option<u64> = None;
+    let mut held_revision: Option<u64> = None;
     loop {
-        match reader.read::<InstancesAnswer>(held, WATCH_MS).await {
+        match reader.read::<InstancesAnswer>(held_revision, WATCH_MS).await {
             Ok(Some(answer)) => {
                 reader.failures = 0;
-                held = Some(answer.revision);
+                held_revision = Some(answer.revision);
                 if reader.events.send(PlatformEvent::Instances(answer.instances)).is_err() {
                     return;
                 }
                 pause(LIST_PAUSE_MS).await;
             }
-            Ok(None) if held.is_none() => pause(FIRST_PAUSE_MS).await,
+            Ok(None) if held_revision.is_none() => pause(FIRST_PAUSE_MS).await,
             Ok(None) => {}
             Err(error) => {
                 if !reader.back_off(&error).await {
--- a/crates/runtime/src/view.rs
+++ b/crates/runtime/src/view.rs
@@ -1,4 +1,4 @@
-//! The state of a process as its operators and its peers see it.
+//! The state of a process that operators and peers can see.
 
 use crate::clock::SteadyClock;
 use crate::link::HelloSource;
@@ -7,7 +7,8 @@
 use hickorycross_protocol::{Hello, PeerRole, VERSIONS};
 use std::sync::{Mutex, PoisonError};
 
-/// State shared between the driver, which writes it, and the servers, which show it.
+/// The state shared between the driver, which updates it, and the readers of it: the operators'
+/// server (as [`StatusSource`]) and the handshake of links (as [`HelloSource`]).
 pub struct ProcessView {
     clock: SteadyClock,
     role: PeerRole,
@@ -15,7 +16,7 @@
 }
 
 impl ProcessView {
-    /// The state of a process that has just started.
+    /// Creates the state of a process that has just started: without a document and not ready.
     #[must_use]
     pub fn new(
         clock: SteadyClock,
@@ -42,7 +43,7 @@
         Self { clock, role, status: Mutex::new(status) }
     }
 
-    /// Changes the state.
+    /// Changes the state while holding its lock.
     pub fn update(&self, change: impl FnOnce(&mut Status)) {
         change(&mut self.status.lock().unwrap_or_else(PoisonError::into_inner));
     }
--- a/crates/runtime/tests/fleet.rs
+++ b/crates/runtime/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! What a process remembers of others.
+//! Tests of the table of other processes.
 
 use googletest::prelude::*;
 use hickorycross_config::{Digest, FailureDomainId, Stamp};
@@ -32,74 +32,76 @@
     }
 }
 
-/// What happens to one process, and what is known of it then.
+/// Events that concern the process `a`, and the expected content of the table afterwards.
 struct Case {
     name: &'static str,
-    happens: fn(&Fleet),
-    known: bool,
-    heard: Option<(u64, u64)>,
+    events: fn(&Fleet),
+    is_known: bool,
+    /// Revision and time of the last report.
+    last_report: Option<(u64, u64)>,
 }
 
 const CASES: [Case; 5] = [
     Case {
-        name: "listed, never heard",
-        happens: |fleet| fleet.update_instances(UnixMs(1), &[listed("a")]),
-        known: true,
-        heard: None,
+        name: "listed, without a report",
+        events: |fleet| fleet.update_instances(UnixMs(1), &[listed("a")]),
+        is_known: true,
+        last_report: None,
     },
     Case {
-        name: "heard twice",
-        happens: |fleet| {
+        name: "two reports",
+        events: |fleet| {
             fleet.link_opened(UnixMs(1), LINK, &hello("a", 4));
             fleet.record_stamp(UnixMs(9), LINK, stamp(5));
         },
-        known: true,
-        heard: Some((5, 9)),
+        is_known: true,
+        last_report: Some((5, 9)),
     },
     Case {
-        name: "its link has ended, the list still names it",
-        happens: |fleet| {
+        name: "link ended, still listed",
+        events: |fleet| {
             fleet.link_opened(UnixMs(1), LINK, &hello("a", 4));
             fleet.update_instances(UnixMs(2), &[listed("a")]);
             fleet.link_closed(LINK);
             fleet.record_stamp(UnixMs(9), LINK, stamp(5));
         },
-        known: true,
-        heard: Some((4, 1)),
+        is_known: true,
+        last_report: Some((4, 1)),
     },
     Case {
-        name: "neither listed nor linked any more",
-        happens: |fleet| {
+        name: "no longer listed, link ended",
+        events: |fleet| {
             fleet.update_instances(UnixMs(1), &[listed("a")]);
             fleet.link_opened(UnixMs(2), LINK, &hello("a", 4));
             fleet.update_instances(UnixMs(3), &[listed("b")]);
             fleet.link_closed(LINK);
         },
-        known: false,
-        heard: None,
+        is_known: false,
+        last_report: None,
     },
     Case {
-        name: "no longer listed, its link is up",
-        happens: |fleet| {
+        name: "no longer listed, link open",
+        events: |fleet| {
             fleet.link_opened(UnixMs(2), LINK, &hello("a", 4));
             fleet.update_instances(UnixMs(3), &[listed("b")]);
         },
-        known: true,
-        heard: Some((4, 2)),
+        is_known: true,
+        last_report: Some((4, 2)),
     },
 ];
 
 #[gtest]
-fn word_of_a_process_ages_and_is_forgotten_with_it() -> googletest::Result<()> {
+fn last_report_is_kept_until_the_process_is_neither_listed_nor_linked() -> googletest::Result<()> {
     for case in &CASES {
         let fleet = Fleet::default();
-        (case.happens)(&fleet);
+        (case.events)(&fleet);
         let snapshot = fleet.snapshot();
         let process = snapshot.processes.get(&InstanceId::new("a"));
-        let heard =
-            process.and_then(|one| one.last_report).map(|one| (one.stamp.revision, one.at.0));
-        expect_that!(process.is_some(), eq(case.known), "{}", case.name);
-        expect_that!(heard, eq(case.heard), "{}", case.name);
+        let last_report = process
+            .and_then(|process| process.last_report)
+            .map(|report| (report.stamp.revision, report.at.0));
+        expect_that!(process.is_some(), eq(case.is_known), "{}", case.name);
+        expect_that!(last_report, eq(case.last_report), "{}", case.name);
     }
     Ok(())
 }
--- a/crates/runtime/tests/platform_reads.rs
+++ b/crates/runtime/tests/platform_reads.rs
@@ -1,4 +1,4 @@
-//! What following the platform costs it.
+//! Tests of the number of reads that following the platform causes.
 
 use googletest::prelude::*;
 use hickorycross_core::{Instance, InstanceId, InstanceState, Role};
@@ -34,10 +34,11 @@
     rows.collect()
 }
 
-/// Symptom: at 260 KB a document, each process that does not watch reads more than the 5 KB a
-/// second that it may spend on control.
-/// Sequence: it holds the current document; it polls; nothing has changed.
-/// Cause: a poll that does not say what is held is answered with the whole document.
+/// Guards against polls that transfer an unchanged document.
+///
+/// A poll without the revision that the process already has is answered with the whole document.
+/// With a document of 260 KB, each polling process would exceed its budget of 5 KB per second for
+/// control traffic.
 #[gtest]
 #[tokio::test]
 async fn polls_read_the_document_once_for_each_change() -> googletest::Result<()> {
@@ -48,7 +49,7 @@
     follow(&format!("http://{}", platform.address()), receiver, sender);
     verify_that!(next_revision(&mut events).await, eq(1))?;
     for polls in 1..=3 {
-        // The same mode again: the next poll comes at once.
+        // Setting the mode, even to the same value, triggers the next poll immediately.
         mode.send(FollowMode::Poll).or_fail()?;
         while platform.read_counts().config_watch < polls {
             tokio::task::yield_now().await;
@@ -62,12 +63,14 @@
     Ok(())
 }
 
-/// Symptom: reads of the document are answered with 429 while a rack fails.
-/// Sequence: the list changes several times in a second, and every process watches it.
-/// Cause: a watch that is renewed at once costs one read of each process for each change.
+/// Guards against exceeding the platform's rate limit while a rack fails.
+///
+/// The instance list then changes several times per second and every process watches it. If watches
+/// were renewed immediately, each change would cause one read by every process, and reads of the
+/// document would be answered with status 429.
 #[gtest]
 #[tokio::test]
-async fn changes_of_the_list_that_follow_one_another_are_read_together() -> googletest::Result<()> {
+async fn successive_changes_of_the_instance_list_are_read_together() -> googletest::Result<()> {
     let platform = PlatformStandIn::start().await.or_fail()?;
     platform.set_instances(instances(1));
     let (sender, mut events) = unbounded_channel();
