--- a/crates/runtime/src/link/connection.rs
+++ b/crates/runtime/src/link/connection.rs
@@ -1,4 +1,8 @@
-//! One connection: the control stream and a stream for each attempt.
+//! The task that serves one connection: its control stream and one stream for each attempt.
+//!
+//! The first frame of an attempt opens its stream and its last one ends it. Frames of an attempt
+//! without an open stream, and frames that belong to no attempt, are sent on the control stream.
+//! Each stream is read by one task and written by another.
 
 use super::stream::{StreamError, read_frame, write_frame};
 use super::{LinkEvent, Shared};
@@ -9,21 +13,21 @@
 use std::sync::Arc;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// What the task of a connection is told.
+/// A command to the task of a connection.
 pub(crate) enum Command {
     /// Send a frame.
     Send(Frame),
     /// Close the connection.
     Close,
-    /// The other end opened a stream for an attempt. Its reader says so before it passes on the
-    /// first frame, so that the answer finds the stream.
+    /// Use a stream that the other end opened for an attempt. Its reader sends this before it
+    /// reports the first frame, so that the stream is registered when the answer is sent.
     Register { attempt: AttemptId, stream: SendStream },
-    /// The other end finished the stream of an attempt.
+    /// Remove the stream of an attempt, because the other end has finished it.
     Finished { attempt: AttemptId, serial: u64 },
 }
 
 struct AttemptStream {
-    /// Tells a stream from its successor for the same attempt.
+    /// Distinguishes a stream from a later one for the same attempt.
     serial: u64,
     frames: UnboundedSender<Frame>,
 }
@@ -48,7 +52,7 @@
         Self { shared, link, connection, commands, streams: IndexMap::new(), next_serial: 0 }
     }
 
-    /// Serves commands and streams; returns why the connection ended.
+    /// Serves commands and streams until the connection ends, and returns the reason.
     pub(crate) async fn run(
         mut self,
         control: (SendStream, RecvStream),
@@ -62,7 +66,7 @@
                 command = commands.recv() => match command {
                     Some(Command::Send(frame)) => self.send(frame, &control_frames),
                     Some(Command::Register { attempt, stream }) => self.register(attempt, stream),
-                    Some(Command::Finished { attempt, serial }) => self.remove_stream(attempt, serial),
+                    Some(Command::Finished { attempt, serial }) => self.remove(attempt, serial),
                     Some(Command::Close) | None => {
                         self.connection.close(0_u32.into(), b"closed");
                         return "closed by this end".to_owned();
@@ -122,7 +126,7 @@
         serial
     }
 
-    fn remove_stream(&mut self, attempt: AttemptId, serial: u64) {
+    fn remove(&mut self, attempt: AttemptId, serial: u64) {
         let is_same = self.streams.get(&attempt).is_some_and(|stream| stream.serial == serial);
         if is_same {
             self.streams.swap_remove(&attempt);
@@ -149,7 +153,7 @@
     }
 }
 
-/// Reads the frames of one stream.
+/// Reads the frames of one stream and reports them as events.
 struct Reader {
     shared: Arc<Shared>,
     link: LinkId,
@@ -166,8 +170,10 @@
         let _ = self.commands.send(Command::Finished { attempt, serial });
     }
 
-    /// A control stream that ends or breaks takes the connection with it: without it neither
-    /// heartbeats nor cancellations pass, while attempts seem to go on.
+    /// Reads the control stream and closes the connection when it ends or fails.
+    ///
+    /// Without a control stream, neither heartbeats nor cancellations would arrive, while attempts
+    /// would appear to continue.
     async fn read_control(self, mut stream: RecvStream) {
         let error = self.read_until_end(&mut stream).await;
         self.connection.close(1_u32.into(), error.to_string().as_bytes());
@@ -184,7 +190,7 @@
             return;
         };
         let Some(attempt) = first.attempt() else {
-            self.connection.close(1_u32.into(), b"a stream without an attempt");
+            self.connection.close(1_u32.into(), b"first frame of a stream belongs to no attempt");
             return;
         };
         let _ = self.commands.send(Command::Register { attempt, stream: send });
@@ -218,7 +224,7 @@
 async fn write_all(mut stream: SendStream, mut frames: UnboundedReceiver<Frame>) {
     while let Some(frame) = frames.recv().await {
         if let Err(error) = write_frame(&mut stream, &frame).await {
-            log::debug!(target: "link", error = error.to_string().as_str(); "write");
+            log::debug!(target: "link", error = error.to_string().as_str(); "stream write failed");
             return;
         }
     }
--- a/crates/runtime/src/link/dial.rs
+++ b/crates/runtime/src/link/dial.rs
@@ -1,4 +1,4 @@
-//! Opens links.
+//! Opens links to other processes.
 
 use super::connection::{Command, ConnectionTask};
 use super::handshake::{Control, HANDSHAKE_TIMEOUT, greet};
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 
-/// Opens a link in a task of its own.
+/// Spawns a task that opens a link and serves it until it ends.
 pub(super) fn open(shared: Arc<Shared>, link: LinkId, address: SocketAddr) {
     let (sender, receiver) = shared.insert(link);
     tokio::spawn(async move {
@@ -29,9 +29,9 @@
     sender: UnboundedSender<Command>,
     receiver: UnboundedReceiver<Command>,
 ) -> Result<String, String> {
-    // A middlebox that has forgotten the path of an old link swallows everything from its local
-    // port; one would see new connections from that port die as well. A socket for each link gives
-    // each a port of its own.
+    // Each link has its own socket and therefore its own local port. A middlebox that has lost its
+    // state for an earlier link may drop everything from that link's port, so that new connections
+    // from the same port would fail as well.
     let endpoint = fresh_endpoint(shared, address).map_err(|error| error.to_string())?;
     let handshake =
         tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake_with(shared, &endpoint, address));
--- a/crates/runtime/src/link/handshake.rs
+++ b/crates/runtime/src/link/handshake.rs
@@ -1,4 +1,7 @@
-//! The first words on a link: who is there, and whether its certificate agrees.
+//! The exchange of hellos at the start of a link.
+//!
+//! Both ends check that they have a protocol version in common, and that the role in the other
+//! end's hello matches its certificate.
 
 use super::Shared;
 use super::stream::{read_frame, write_frame};
@@ -7,13 +10,14 @@
 use quinn::{Connection, RecvStream, SendStream};
 use std::time::Duration;
 
-/// A handshake that takes longer has failed.
+/// Timeout of a handshake: the QUIC connection and the exchange of hellos.
 pub(super) const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The control stream of a link, both directions.
+/// Both directions of a link's control stream.
 pub(super) type Control = (SendStream, RecvStream);
 
-/// Greets the other end of a connection that this end opened.
+/// Opens the control stream of a connection that this end opened, sends the hello and receives the
+/// other one, which has to come from an agent.
 pub(super) async fn greet(
     shared: &Shared,
     connection: &Connection,
@@ -24,11 +28,12 @@
     if matches!(hello.role, PeerRole::Agent { .. }) {
         Ok(((send, recv), hello))
     } else {
-        Err("the other end is no agent".to_owned())
+        Err("the other end is not an agent".to_owned())
     }
 }
 
-/// Answers the greeting of the end that opened a connection.
+/// Accepts the control stream of a connection that the other end opened, receives the hello and
+/// answers it.
 pub(super) async fn answer(
     shared: &Shared,
     connection: &Connection,
@@ -51,17 +56,17 @@
 ) -> Result<Hello, String> {
     let first = read_frame(recv).await.map_err(|error| error.to_string())?;
     let Frame::Hello(hello) = first else {
-        return Err("the first frame was no greeting".to_owned());
+        return Err("the first frame is not a hello".to_owned());
     };
     if negotiate(VERSIONS, hello.versions).is_none() {
-        return Err(format!("no common version with {:?}", hello.versions));
+        return Err(format!("no protocol version in common with {:?}", hello.versions));
     }
     let name = match hello.role {
         PeerRole::Entry => ENTRY_NAME,
         PeerRole::Agent { .. } => AGENT_NAME,
     };
     if shared.keys().checks_roles && !certificate_names(connection, name) {
-        return Err(format!("the certificate is not for {name}"));
+        return Err(format!("the peer certificate is not issued for {name}"));
     }
     Ok(hello)
 }
--- a/crates/runtime/src/link/listen.rs
+++ b/crates/runtime/src/link/listen.rs
@@ -1,4 +1,4 @@
-//! Accepts links.
+//! Accepts links from other processes.
 
 use super::connection::ConnectionTask;
 use super::handshake::{Control, HANDSHAKE_TIMEOUT, answer};
@@ -8,28 +8,28 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// An address on which links are accepted until this is dropped.
+/// A bound address on which links are accepted until [`Listener::close`].
 pub struct Listener {
     endpoint: Endpoint,
     shared: Arc<Shared>,
 }
 
 impl Listener {
-    /// The bound address.
+    /// Returns the bound address.
     ///
     /// # Errors
     ///
-    /// When the system no longer knows it.
+    /// If the operating system cannot report the address of the socket.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         self.endpoint.local_addr()
     }
 
-    /// Shows the present keys to links that are accepted from now on.
+    /// Uses the current keys of the [`Links`](super::Links) for links accepted from now on.
     pub fn apply_keys(&self) {
         self.endpoint.set_server_config(Some(server_config(&self.shared)));
     }
 
-    /// Closes every link that was accepted here.
+    /// Stops accepting links and closes every link that was accepted here.
     pub fn close(&self) {
         self.endpoint.close(0_u32.into(), b"closed");
     }
--- a/crates/runtime/src/link/mod.rs
+++ b/crates/runtime/src/link/mod.rs
@@ -1,7 +1,8 @@
-//! Links between processes: one QUIC connection each, frames on its streams.
+//! Links between processes. Each link is a QUIC connection whose streams carry frames.
 //!
-//! [`Links`] opens, accepts and closes them and reports what happens as [`LinkEvent`]s on one
-//! channel, in the order in which it happened on each stream.
+//! A link has one control stream, which starts with the hellos of both ends, and one stream for
+//! each attempt. [`Links`] opens, accepts and closes links, and reports their events on one
+//! channel. The frames of a stream are reported in the order in which they were sent.
 
 mod connection;
 mod dial;
@@ -20,20 +21,20 @@
 use std::sync::{Mutex, PoisonError};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// Accepted links are numbered from here, so that they never meet a number chosen by the core.
+/// First number of accepted links, so that they never collide with numbers chosen by the core.
 const FIRST_ACCEPTED: u64 = 1 << 63;
 
-/// What happens on links.
+/// An event on a link.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// A link is up and the other end has said who it is.
+    /// The handshake has succeeded and the link is open.
     Opened {
         /// The link.
         link: LinkId,
-        /// What the other end said.
+        /// The hello of the other end.
         hello: Hello,
     },
-    /// A frame came.
+    /// A frame has arrived.
     Frame {
         /// The link.
         link: LinkId,
@@ -44,18 +45,18 @@
     Closed {
         /// The link.
         link: LinkId,
-        /// Why, for people.
+        /// A description of the cause, for logs.
         reason: String,
     },
 }
 
-/// Gives the present greeting of this process.
+/// Provides the hello that this process sends at the start of a link.
 pub trait HelloSource: Send + Sync {
-    /// The greeting, with the stamp of the document in force now.
+    /// Returns the hello, with the stamp of the document in force now.
     fn hello(&self) -> Hello;
 }
 
-/// The links of a process; copies share them.
+/// The links of a process. Clones share the same links.
 #[derive(Clone)]
 pub struct Links {
     shared: Arc<Shared>,
@@ -70,7 +71,7 @@
 }
 
 impl Links {
-    /// Makes the table of links; events come out of the receiver.
+    /// Creates an empty table of links, and the receiver of their events.
     #[must_use]
     pub fn new(
         keys: LinkKeys,
@@ -87,7 +88,9 @@
         (Self { shared: Arc::new(shared) }, receiver)
     }
 
-    /// Opens a link from a fresh local port.
+    /// Opens a link to an address, from a new local port.
+    ///
+    /// [`LinkEvent::Opened`] follows on success, [`LinkEvent::Closed`] on failure.
     pub fn open(&self, link: LinkId, address: SocketAddr) {
         dial::open(Arc::clone(&self.shared), link, address);
     }
@@ -101,12 +104,12 @@
         listen::listen(Arc::clone(&self.shared), address)
     }
 
-    /// Sends a frame; it is lost when the link is not up.
+    /// Sends a frame; it is lost if the link is not open or closes before the frame arrives.
     pub fn send(&self, link: LinkId, frame: Frame) {
         self.shared.command(link, Command::Send(frame));
     }
 
-    /// Sends a frame on every link that is up.
+    /// Sends a frame on every open link.
     pub fn broadcast(&self, frame: &Frame) {
         for sender in self.shared.lock().values() {
             let _ = sender.send(Command::Send(frame.clone()));
@@ -118,7 +121,8 @@
         self.shared.command(link, Command::Close);
     }
 
-    /// Uses other keys for links that begin from now on.
+    /// Replaces the keys for links that are opened from now on; open links keep theirs. A
+    /// [`Listener`] uses the new keys after [`Listener::apply_keys`].
     pub fn replace_keys(&self, keys: LinkKeys) {
         *self.shared.keys.lock().unwrap_or_else(PoisonError::into_inner) = keys;
     }
@@ -137,7 +141,7 @@
         }
     }
 
-    /// Enters a link in the table; its commands come out of the receiver.
+    /// Adds a link to the table, and returns both ends of the channel for its commands.
     fn insert(&self, link: LinkId) -> (UnboundedSender<Command>, UnboundedReceiver<Command>) {
         let (sender, receiver) = unbounded_channel();
         self.lock().insert(link, sender.clone());
@@ -162,14 +166,14 @@
     }
 }
 
-/// Bounds of every connection.
+/// Returns the transport limits of every connection.
 fn transport() -> quinn::TransportConfig {
-    /// Attempts that may be open on one link; more wait until one has ended.
+    /// Maximum number of open attempts on one link; further ones wait until another has ended.
     ///
-    /// Both ends make room for all of them when the connection opens, about 90 bytes each: at
-    /// 16,384 a process with 200 links held 300 MB for streams that it never opened.
+    /// Both ends allocate about 90 bytes for each possible stream when the connection opens. With
+    /// 16,384, a process with 200 links used 300 MB for streams that it never opened.
     const MAX_STREAMS: u32 = 2_048;
-    /// A connection that hears nothing for so long is dropped.
+    /// Time without any packet from the other end after which a connection is dropped.
     const MAX_IDLE_MS: u32 = 40_000;
     let mut transport = quinn::TransportConfig::default();
     transport.max_concurrent_bidi_streams(MAX_STREAMS.into());
