--- a/crates/runtime/src/operators.rs
+++ b/crates/runtime/src/operators.rs
@@ -1,4 +1,4 @@
-//! What a process shows its operators over HTTP: status, metrics, audit trail, health.
+//! The operators' HTTP endpoints of a process: status, metrics, audit trail and health checks.
 
 use crate::exposition::Exposition;
 use crate::trail::{Trail, TrailEntry};
@@ -10,48 +10,48 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The state of a process at one moment.
+/// The state of a process at one moment, as `/status` returns it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// `hickorycross-entry` or `hickorycross-agent`.
     pub program: String,
-    /// Release.
+    /// Version of the program.
     pub version: String,
-    /// Its instance.
+    /// The instance of the process.
     pub instance: InstanceId,
-    /// Its incarnation.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
-    /// The document in force.
+    /// Stamp of the document in force.
     pub stamp: Stamp,
-    /// A newer document that did not validate.
+    /// Stamp of the latest newer document that did not validate.
     pub refused: Option<Stamp>,
-    /// Whether it takes work.
+    /// Whether the process is ready to take requests.
     pub ready: bool,
-    /// Whether it finishes what it has and takes nothing new.
+    /// Whether the process finishes its requests and takes no new ones.
     pub draining: bool,
-    /// How far the wall clock is ahead of the clock that deadlines are judged by.
+    /// Milliseconds by which the wall clock is ahead of the clock used for deadlines.
     pub wall_offset_ms: i64,
-    /// What is particular to the program.
+    /// Further state whose content depends on the program.
     pub detail: serde_json::Value,
 }
 
-/// Shows a process.
+/// Provides the state of a process.
 pub trait StatusSource: Send + Sync {
-    /// Its state now.
+    /// Returns the state at this moment.
     fn status(&self) -> Status;
 }
 
-/// What the operators' server reads from.
+/// The sources of the operators' pages.
 pub struct PageSources {
-    /// The process.
+    /// The state of the process.
     pub status_source: Arc<dyn StatusSource>,
-    /// Its audit trail.
+    /// The audit trail of the process.
     pub trail: Arc<Trail>,
-    /// Its metrics.
+    /// The metrics of the process.
     pub exposition: Exposition,
 }
 
-/// Mounts the sources on a server.
+/// Mounts the operators' endpoints on a server.
 #[must_use]
 pub fn mount(rocket: Rocket<Build>, sources: PageSources) -> Rocket<Build> {
     rocket.manage(sources).mount("/", routes![status, metrics, audit, live, ready])
--- a/crates/runtime/src/security/authority.rs
+++ b/crates/runtime/src/security/authority.rs
@@ -1,7 +1,8 @@
-//! A fleet's own authority, and the certificates that it signs.
+//! The certificate authority of a fleet, and the certificates that it issues.
 //!
-//! The authority needs no service: its key signs where an operator runs the command, and only the
-//! certificates travel to the instances.
+//! The authority is a directory with a certificate and a key, not a service. Its key signs on the
+//! machine on which an operator runs the command and is not copied to the instances; these need
+//! their own key, their certificate, and the certificate of the authority.
 
 use super::{AGENT_NAME, ENTRY_NAME};
 use rcgen::{
@@ -14,22 +15,23 @@
 
 /// File with the authority's certificate.
 pub const AUTHORITY_FILE: &str = "authority.pem";
-/// File with the authority's private key; it stays with the operator.
+/// File with the authority's private key, which must not leave the operator's machine.
 pub const AUTHORITY_KEY_FILE: &str = "authority.key.pem";
-/// Days for which a certificate holds, unless told otherwise.
+/// Default validity of an issued certificate, in days.
 pub const DEFAULT_VALID_DAYS: u16 = 90;
-/// Days for which the authority holds: ten years.
+/// Validity of the authority's certificate, in days: ten years.
 const AUTHORITY_VALID_DAYS: u16 = 3650;
-/// A certificate holds from the day before on, because clocks differ.
-const DAYS_BACK: i64 = 1;
-/// Private keys are readable by their owner alone.
+/// Days before the day of issue from which a certificate is valid, because clocks of instances
+/// differ.
+const BACKDATED_DAYS: i64 = 1;
+/// File mode of private keys, which only their owner can read.
 const KEY_MODE: u32 = 0o600;
-/// Certificates are readable by everyone.
+/// File mode of certificates, which everyone can read.
 const CERTIFICATE_MODE: u32 = 0o644;
-/// Name of the authority in its certificate.
+/// Common name in the authority's certificate.
 const AUTHORITY_NAME: &str = "hickorycross authority";
 
-/// What a certificate is for.
+/// The kind of process that a certificate is issued to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Holder {
     /// An entry.
@@ -39,7 +41,7 @@
 }
 
 impl Holder {
-    /// The name in its certificate.
+    /// Returns the name in the certificate.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -48,7 +50,7 @@
         }
     }
 
-    /// File with its certificate.
+    /// Returns the name of the file with the certificate.
     #[must_use]
     pub const fn certificate_file(self) -> &'static str {
         match self {
@@ -57,7 +59,7 @@
         }
     }
 
-    /// File with its private key.
+    /// Returns the name of the file with the private key.
     #[must_use]
     pub const fn key_file(self) -> &'static str {
         match self {
@@ -66,7 +68,8 @@
         }
     }
 
-    /// Entries open links and accept none; agents do both.
+    /// Returns the key usages in the certificate. Entries only open links; agents open and accept
+    /// them.
     fn usages(self) -> Vec<ExtendedKeyUsagePurpose> {
         match self {
             Self::Entry => vec![ExtendedKeyUsagePurpose::ClientAuth],
@@ -77,7 +80,7 @@
     }
 }
 
-/// Why certificates cannot be made.
+/// The reason why an authority cannot be opened or a certificate cannot be issued.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum AuthorityError {
     /// A file cannot be read or written.
@@ -85,36 +88,36 @@
     File {
         /// Its path.
         path: String,
-        /// What the system said.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
-    /// The certificate library refuses.
-    #[error("cannot make a certificate: {0}")]
+    /// The certificate library returned an error.
+    #[error("cannot create a certificate: {0}")]
     Certificate(#[from] rcgen::Error),
-    /// Only one half of the authority is there.
+    /// The directory contains only the certificate or only the key of an authority.
     #[error("{directory} holds only one of {AUTHORITY_FILE} and {AUTHORITY_KEY_FILE}")]
     #[diagnostic(help("restore the missing file, or choose another directory"))]
     Incomplete {
         /// The directory.
         directory: String,
     },
-    /// The dates do not fit into a calendar.
-    #[error("the validity does not fit into a calendar: {0}")]
+    /// The dates of validity are outside the calendar's range.
+    #[error("the validity is outside the range of the calendar: {0}")]
     Date(#[from] jiff::Error),
 }
 
-/// A directory with an authority.
+/// A certificate authority whose files are in one directory.
 pub struct Authority {
     directory: PathBuf,
     issuer: CertifiedIssuer<'static, KeyPair>,
 }
 
 impl Authority {
-    /// Takes the authority of a directory, or makes a new one there.
+    /// Opens the authority in a directory, or creates one there if the directory has none.
     ///
     /// # Errors
     ///
-    /// When a file cannot be read or written.
+    /// If a file cannot be read or written, or if one of the authority's two files is missing.
     pub fn open_or_create(directory: &Path) -> Result<Self, AuthorityError> {
         std::fs::create_dir_all(directory).map_err(|cause| file_error(directory, cause))?;
         let certificate = directory.join(AUTHORITY_FILE);
@@ -128,8 +131,8 @@
                 });
             }
         };
-        // The certificate is signed anew with the same key and name, so that what the authority
-        // signed before stays valid.
+        // An existing authority's certificate is rebuilt in memory with the same key and name, so
+        // that certificates it issued earlier stay valid.
         let issuer = CertifiedIssuer::self_signed(authority_params()?, key_pair)?;
         if !key.exists() {
             replace(&key, &issuer.key().serialize_pem(), KEY_MODE)?;
@@ -138,15 +141,15 @@
         Ok(Self { directory: directory.to_owned(), issuer })
     }
 
-    /// Makes a key and a certificate and writes both; files of the same names are replaced.
+    /// Creates a key and a certificate and writes both to the directory, replacing earlier ones.
     ///
     /// # Errors
     ///
-    /// When a file cannot be written.
+    /// If a file cannot be written or `valid_days` is outside the calendar's range.
     pub fn issue(&self, holder: Holder, valid_days: u16) -> Result<(), AuthorityError> {
         let key = KeyPair::generate()?;
         let mut params = CertificateParams::new(vec![holder.name().to_owned()])?;
-        params.distinguished_name = named(holder.name());
+        params.distinguished_name = distinguished_name(holder.name());
         params.extended_key_usages = holder.usages();
         params.use_authority_key_identifier_extension = true;
         set_validity(&mut params, valid_days)?;
@@ -159,14 +162,14 @@
 
 fn authority_params() -> Result<CertificateParams, AuthorityError> {
     let mut params = CertificateParams::default();
-    params.distinguished_name = named(AUTHORITY_NAME);
+    params.distinguished_name = distinguished_name(AUTHORITY_NAME);
     params.is_ca = IsCa::Ca(BasicConstraints::Constrained(0));
     params.key_usages = vec![KeyUsagePurpose::KeyCertSign];
     set_validity(&mut params, AUTHORITY_VALID_DAYS)?;
     Ok(params)
 }
 
-fn named(name: &str) -> DistinguishedName {
+fn distinguished_name(name: &str) -> DistinguishedName {
     let mut distinguished = DistinguishedName::new();
     distinguished.push(DnType::CommonName, name);
     distinguished
@@ -174,7 +177,7 @@
 
 fn set_validity(params: &mut CertificateParams, days: u16) -> Result<(), AuthorityError> {
     let today = jiff::Zoned::now().with_time_zone(jiff::tz::TimeZone::UTC).date();
-    let first = today.checked_sub(jiff::Span::new().days(DAYS_BACK))?;
+    let first = today.checked_sub(jiff::Span::new().days(BACKDATED_DAYS))?;
     let last = today.checked_add(jiff::Span::new().days(i64::from(days)))?;
     let (year, month, day) = parts(first);
     params.not_before = rcgen::date_time_ymd(year, month, day);
@@ -183,7 +186,7 @@
     Ok(())
 }
 
-/// Year, month and day.
+/// Splits a date into year, month and day.
 fn parts(date: jiff::civil::Date) -> (i32, u8, u8) {
     (date.year().into(), date.month().unsigned_abs(), date.day().unsigned_abs())
 }
@@ -193,17 +196,19 @@
     Ok(KeyPair::from_pem(&text)?)
 }
 
-/// Writes a file beside the old one and renames it. A running process that looked between two
-/// writes to one file would read half a key, and log an error for nothing.
+/// Replaces a file atomically: writes a temporary file next to it and renames that.
+///
+/// With writes to the file itself, a running process that checks its key files in between would
+/// read an incomplete key and log an error without cause.
 fn replace(path: &Path, text: &str, mode: u32) -> Result<(), AuthorityError> {
-    let beside = path.with_extension("new");
+    let temporary = path.with_extension("new");
     let write = || {
-        let _ = std::fs::remove_file(&beside);
+        let _ = std::fs::remove_file(&temporary);
         let mut file =
-            std::fs::OpenOptions::new().write(true).create_new(true).mode(mode).open(&beside)?;
+            std::fs::OpenOptions::new().write(true).create_new(true).mode(mode).open(&temporary)?;
         file.write_all(text.as_bytes())?;
         file.sync_all()?;
-        std::fs::rename(&beside, path)
+        std::fs::rename(&temporary, path)
     };
     write().map_err(|cause| file_error(path, cause))
 }
--- a/crates/runtime/src/security/mod.rs
+++ b/crates/runtime/src/security/mod.rs
@@ -1,10 +1,10 @@
-//! Keys of the links between processes.
+//! TLS keys and certificates of the links between processes.
 //!
-//! Both ends of a link show a certificate that the fleet's own authority signed. The certificate
-//! names the role of its holder ([`ENTRY_NAME`], [`AGENT_NAME`]), so that an entry's key cannot be
-//! used to answer in the place of an agent.
+//! Both ends of a link present a certificate issued by the fleet's own certificate authority. Its
+//! name states the role of the process ([`ENTRY_NAME`], [`AGENT_NAME`]), so that the key of an
+//! entry cannot be used to impersonate an agent.
 //!
-//! [`authority`] makes such certificates; [`renewal`] takes renewed files up without a restart.
+//! [`authority`] issues such certificates; [`renewal`] loads renewed files without a restart.
 
 pub mod authority;
 pub mod renewal;
@@ -26,10 +26,10 @@
 /// Name in the certificate of an agent.
 pub const AGENT_NAME: &str = "agent.hickorycross.internal";
 
-/// Name of the protocol in the TLS handshake.
+/// Protocol name for ALPN in the TLS handshake.
 const ALPN: &[u8] = b"hickorycross";
 
-/// Files with the keys of a process.
+/// The files with the key and the certificates of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyFiles {
@@ -42,7 +42,7 @@
 }
 
 impl KeyFiles {
-    /// The files, in the order of the fields.
+    /// Returns the paths of all files.
     #[must_use]
     pub fn paths(&self) -> [&Path; 3] {
         [&self.authority_file, &self.certificate_file, &self.key_file]
@@ -53,13 +53,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LinkSecurity {
-    /// Both ends show a certificate of the fleet's authority.
+    /// Both ends present a certificate issued by the fleet's authority.
     MutualTls(KeyFiles),
-    /// Nobody is checked. For development only.
+    /// Links are encrypted, but neither end is authenticated. For development only.
     DevelopmentUnauthenticated,
 }
 
-/// Why keys cannot be used.
+/// The reason why keys cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SecurityError {
     /// A file cannot be read as PEM.
@@ -67,45 +67,45 @@
     File {
         /// Its path.
         path: String,
-        /// Why.
+        /// The error of the PEM reader.
         cause: String,
     },
-    /// The TLS library refuses them.
+    /// The TLS library rejected a key or a certificate.
     #[error("keys cannot be used: {0}")]
     Tls(#[from] rustls::Error),
-    /// The authority's certificate cannot check others.
+    /// No verifier can be built from the authority's certificate, or no cipher suite fits QUIC.
     #[error("the authority cannot be used: {0}")]
     Authority(String),
-    /// A development certificate cannot be made.
-    #[error("no development certificate: {0}")]
+    /// The self-signed certificate for development cannot be created.
+    #[error("cannot create a development certificate: {0}")]
     Development(String),
 }
 
-/// What a process needs to open and accept links.
+/// The TLS configurations with which a process opens and accepts links.
 #[derive(Clone)]
 pub struct LinkKeys {
-    /// For links that this process opens.
+    /// Configuration of links that this process opens.
     pub client: quinn::ClientConfig,
-    /// For links that this process accepts.
+    /// Configuration of links that this process accepts.
     pub server: quinn::ServerConfig,
-    /// Whether the role in a peer's certificate is checked.
+    /// Whether the role in a peer's hello has to match its certificate.
     pub checks_roles: bool,
 }
 
 impl LinkKeys {
-    /// Reads the keys.
+    /// Loads the keys; without authentication, creates a self-signed certificate.
     ///
     /// # Errors
     ///
-    /// When a file is missing or the keys do not fit together.
+    /// If a file cannot be read, or the key and the certificates do not match.
     pub fn load(security: &LinkSecurity) -> Result<Self, SecurityError> {
         match security {
-            LinkSecurity::MutualTls(files) => mutual(files),
+            LinkSecurity::MutualTls(files) => mutual_tls(files),
             LinkSecurity::DevelopmentUnauthenticated => {
                 log::warn!(
                     target: "security",
                     link_security = "development_unauthenticated";
-                    "links check nobody: for development only"
+                    "links are not authenticated; use this for development only"
                 );
                 unauthenticated()
             }
@@ -113,7 +113,7 @@
     }
 }
 
-/// Whether a peer's certificate carries a name.
+/// Whether a peer's certificate is valid for a name.
 #[must_use]
 pub fn certificate_names(connection: &quinn::Connection, name: &'static str) -> bool {
     let Some(identity) = connection.peer_identity() else {
@@ -135,7 +135,7 @@
     Arc::new(rustls::crypto::ring::default_provider())
 }
 
-fn mutual(files: &KeyFiles) -> Result<LinkKeys, SecurityError> {
+fn mutual_tls(files: &KeyFiles) -> Result<LinkKeys, SecurityError> {
     let mut roots = RootCertStore::empty();
     for certificate in read_certificates(&files.authority_file)? {
         roots.add(certificate)?;
@@ -154,7 +154,7 @@
         .with_protocol_versions(&[&rustls::version::TLS13])?
         .with_client_cert_verifier(verifier)
         .with_single_cert(chain, key)?;
-    finish(client, server, true)
+    build_quic_configs(client, server, true)
 }
 
 fn unauthenticated() -> Result<LinkKeys, SecurityError> {
@@ -172,10 +172,10 @@
         .with_protocol_versions(&[&rustls::version::TLS13])?
         .with_no_client_auth()
         .with_single_cert(vec![own.cert.der().clone()], key)?;
-    finish(client, server, false)
+    build_quic_configs(client, server, false)
 }
 
-fn finish(
+fn build_quic_configs(
     mut client: rustls::ClientConfig,
     mut server: rustls::ServerConfig,
     checks_roles: bool,
@@ -212,7 +212,7 @@
     })
 }
 
-/// Takes any certificate; signatures are still checked.
+/// Accepts any server certificate; the signatures of the handshake are still verified.
 #[derive(Debug)]
 struct AcceptAny(Arc<CryptoProvider>);
 
--- a/crates/runtime/src/security/renewal.rs
+++ b/crates/runtime/src/security/renewal.rs
@@ -1,4 +1,4 @@
-//! Takes up renewed key files without a restart.
+//! Loads renewed key files without a restart.
 
 use super::{KeyFiles, LinkKeys, LinkSecurity};
 use crate::clock::SteadyClock;
@@ -10,28 +10,29 @@
 use std::time::Duration;
 use tokio::task::AbortHandle;
 
-/// Pause between two looks at the files.
+/// Interval at which the files are checked.
 const CHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// Between the contents of two files, so that no other split of the bytes gives the same digest.
+/// Hashed after the content of each file, so that the same bytes have another digest if they are
+/// divided differently among the files.
 const FILE_SEPARATOR: &[u8] = b"\0next file\0";
 
-/// Gives new keys to whatever opens and accepts links.
+/// A user of link keys that can replace them while the process runs.
 pub trait UseKeys: Send + 'static {
-    /// Uses these keys for links that begin from now on; links that are up go on.
+    /// Uses these keys for links that are opened from now on; open links are not affected.
     fn use_keys(&self, keys: LinkKeys);
 }
 
-/// What a renewal writes to and reads from.
+/// The parts of the process that are needed to audit a renewal.
 pub struct RenewalContext {
-    /// Gets the audit record.
+    /// Receives the audit records.
     pub trail: Arc<Trail>,
-    /// Knows the document in force.
+    /// Provides the stamp of the document in force.
     pub status_source: Arc<dyn StatusSource>,
-    /// Gives the moment of the record.
+    /// Provides the time of the records.
     pub clock: SteadyClock,
 }
 
-/// Looks after key files until it is dropped.
+/// A handle to the task that watches key files; dropping it stops the task.
 #[derive(Debug)]
 pub struct Renewal(Option<AbortHandle>);
 
@@ -43,11 +44,11 @@
     }
 }
 
-/// Looks at the key files every few seconds and uses what has changed.
+/// Spawns a task that checks the key files every [`CHECK_INTERVAL`] and loads changed ones.
 ///
-/// A certificate that runs out while its renewed file lies ready would cut a process off: one would
-/// see all its links fail at once, at the certificate's last moment. A file that cannot be used
-/// changes nothing: the keys before stay in use and an error is logged, once for each content.
+/// Without it, a process whose certificate files were renewed would still lose all its links when
+/// the certificate loaded at start expires. If the files cannot be used, the current keys stay in
+/// use and an error is logged once for each content. Without mutual TLS, no task is spawned.
 #[must_use]
 pub fn watch(
     security: &LinkSecurity,
@@ -91,7 +92,7 @@
                 target: "security",
                 certificate_file = subject.as_str(),
                 cause = error.to_string().as_str();
-                "renewed keys cannot be used; the ones before stay"
+                "cannot use the renewed keys; the current keys stay in use"
             ),
         }
     }
@@ -103,7 +104,7 @@
     }
 }
 
-/// Digest of all files; none while one cannot be read.
+/// Returns the digest of all files, or none if one of them cannot be read.
 fn digest(files: &KeyFiles) -> Option<Digest> {
     let mut all = Vec::new();
     for path in files.paths() {
--- a/crates/runtime/src/trail.rs
+++ b/crates/runtime/src/trail.rs
@@ -1,32 +1,36 @@
-//! The audit trail of a process: numbered and chained records, kept in memory up to a bound.
+//! The audit trail of a process.
+//!
+//! Records are numbered and chained by hashes, so that missing and altered ones can be detected.
+//! Each record is written to the log; the latest [`MAX_RECORDS`] are also kept in memory.
 
 use hickorycross_core::audit::AuditRecord;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
 
-/// Records that a process keeps; older ones stand in the log only.
+/// Maximum number of records kept in memory; older ones are in the log only.
 pub const MAX_RECORDS: usize = 4096;
 
-/// A record with its place in the trail.
+/// A record with its position in the trail.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TrailEntry {
-    /// Counts the records of this process from 1.
+    /// Number of the record in this process, counted from 1.
     pub sequence: u64,
-    /// Hash over the hash of the record before and this record, 16 hexadecimal digits.
+    /// Hash over the previous record's hash, the sequence and this record, as 16 hexadecimal
+    /// digits.
     pub hash: String,
     /// The record.
     pub record: AuditRecord,
 }
 
-/// A gap or a changed record in a list of entries.
+/// A gap or an altered record in a list of entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrailFault {
-    /// Records between two neighbours are missing.
+    /// The sequence of an entry does not follow the one before it.
     Missing {
-        /// The sequence that was expected.
+        /// The sequence that should follow.
         expected: u64,
-        /// The sequence that was found.
+        /// The sequence that does follow.
         found: u64,
     },
     /// A record does not match its hash.
@@ -36,7 +40,7 @@
     },
 }
 
-/// The trail of one process.
+/// The audit trail of one process.
 #[derive(Debug, Default)]
 pub struct Trail(Mutex<Kept>);
 
@@ -48,7 +52,7 @@
 }
 
 impl Trail {
-    /// Numbers and chains a record, writes it to the log and keeps it.
+    /// Appends a record with its sequence and hash, in memory and in the log.
     pub fn write(&self, record: AuditRecord) {
         let mut kept = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let sequence = kept.last_sequence + 1;
@@ -63,7 +67,7 @@
         kept.entries.push_back(entry);
     }
 
-    /// The kept entries from a sequence on, oldest first.
+    /// Returns the entries in memory from a sequence on, oldest first.
     #[must_use]
     pub fn since(&self, sequence: u64) -> Vec<TrailEntry> {
         let kept = self.0.lock().unwrap_or_else(PoisonError::into_inner);
@@ -71,8 +75,9 @@
     }
 }
 
-/// Checks that entries follow one another without a gap and that none was altered. The first one's
-/// own hash is taken on trust, because its predecessor may no longer be kept.
+/// Checks a list of successive entries, and returns the first gap or altered record.
+///
+/// The hash of the first entry is not verified, because its predecessor may no longer be in memory.
 #[must_use]
 pub fn check(entries: &[TrailEntry]) -> Option<TrailFault> {
     entries.windows(2).find_map(|pair| check_pair(&pair[0], &pair[1]))
--- a/crates/runtime/tests/trail.rs
+++ b/crates/runtime/tests/trail.rs
@@ -1,4 +1,4 @@
-//! The audit trail: chained records, and what their check finds.
+//! Tests of the audit trail: the chain of records and the check for gaps and alterations.
 
 use googletest::prelude::*;
 use hickorycross_config::Stamp;
@@ -18,7 +18,7 @@
     trail
 }
 
-/// A trail that was tampered with, and what is found.
+/// A change to the entries of a trail, and the expected result of the check.
 struct Case {
     name: &'static str,
     tamper: fn(&mut Vec<TrailEntry>),
@@ -26,7 +26,7 @@
 }
 
 const CASES: [Case; 6] = [
-    Case { name: "untouched", tamper: |_| {}, found: None },
+    Case { name: "unchanged", tamper: |_| {}, found: None },
     Case {
         name: "one record is missing",
         tamper: |entries| {
@@ -35,7 +35,7 @@
         found: Some(TrailFault::Missing { expected: 4, found: 5 }),
     },
     Case {
-        name: "a record is missing and the rest was numbered anew",
+        name: "one record is missing and the others are renumbered",
         tamper: |entries| {
             entries.remove(3);
             (1..).zip(entries).for_each(|(number, entry)| entry.sequence = number);
@@ -43,12 +43,12 @@
         found: Some(TrailFault::Altered { sequence: 4 }),
     },
     Case {
-        name: "another actor",
+        name: "changed actor",
         tamper: |entries| entries[2].record.actor = Actor::System,
         found: Some(TrailFault::Altered { sequence: 3 }),
     },
     Case {
-        name: "another time",
+        name: "changed time",
         tamper: |entries| entries[4].record.at = UnixMs(9),
         found: Some(TrailFault::Altered { sequence: 5 }),
     },
@@ -59,13 +59,12 @@
     },
 ];
 
-/// Symptom: what an operator did cannot be found in the trail, and nothing shows that it is gone.
+/// Guards against undetected loss of audit records.
 ///
-/// Events: records are written; one is lost or changed on the way to whoever keeps them.
-///
-/// Cause: lines of a log can be lost or edited one by one.
+/// Single lines of a log can be lost or edited after they were written. Without the check, an
+/// operator's action could be missing from the trail with no sign of it.
 #[gtest]
-fn missing_and_altered_records_are_seen() -> googletest::Result<()> {
+fn missing_and_altered_records_are_detected() -> googletest::Result<()> {
     for case in &CASES {
         let mut entries = trail(RECORDS).since(0);
         (case.tamper)(&mut entries);
@@ -75,7 +74,7 @@
 }
 
 #[gtest]
-fn oldest_records_give_way_without_a_gap() -> googletest::Result<()> {
+fn dropping_the_oldest_records_leaves_no_gap() -> googletest::Result<()> {
     let written = MAX_RECORDS as u64 + 10;
     let entries = trail(written).since(0);
     expect_that!(entries.len(), eq(MAX_RECORDS));
