--- a/crates/runtime/src/command/audit.rs
+++ b/crates/runtime/src/command/audit.rs
@@ -1,4 +1,4 @@
-//! `audit`: the audit trail of a running process, filtered, and checked for gaps.
+//! The command `audit`: prints the audit trail of a running process and checks it for gaps.
 
 use super::Failure;
 use super::fetch::get;
@@ -8,7 +8,7 @@
 use hickorycross_core::audit::Actor;
 use serde_json::Value;
 
-/// The command.
+/// Returns the command `audit`.
 #[must_use]
 pub fn audit_command() -> Command {
     Command::new("audit")
@@ -36,27 +36,29 @@
     Arg::new(name).long(name).value_name(value).help(about)
 }
 
-/// Prints the trail, then reports a gap or an altered record.
+/// Prints the records that pass the filters, then reports a gap or an altered record among all that
+/// were read.
 ///
 /// # Errors
 ///
-/// When the process cannot be reached or the trail is broken.
+/// If the process cannot be reached, or the trail has a gap or an altered record.
 pub fn audit(matches: &ArgMatches) -> Result<(), Failure> {
     let since = matches.get_one::<u64>("since").copied().unwrap_or(1);
     let entries: Vec<TrailEntry> = get(url(matches), &format!("/audit?since={since}"))?;
     let filter = Filter::of(matches);
-    let shown = entries.iter().filter(|entry| filter.passes(entry));
+    let selected = entries.iter().filter(|entry| filter.passes(entry));
     if matches.get_flag("json") {
-        let shown: Vec<_> = shown.collect();
-        println!("{}", serde_json::to_string_pretty(&shown).unwrap_or_default());
+        let selected: Vec<_> = selected.collect();
+        println!("{}", serde_json::to_string_pretty(&selected).unwrap_or_default());
     } else {
-        shown.for_each(|entry| println!("{}", readable(entry)));
+        selected.for_each(|entry| println!("{}", readable(entry)));
     }
     report_dropped_records(since, &entries);
     check_result(trail::check(&entries))
 }
 
-/// A process keeps a bounded number of records: what it no longer has is no gap, but must be said.
+/// Prints a note if the first requested records are no longer in memory. A process keeps a bounded
+/// number of records, so this is not a gap.
 fn report_dropped_records(since: u64, entries: &[TrailEntry]) {
     if let Some(first) = entries.first().filter(|first| first.sequence > since.max(1)) {
         let last = first.sequence - 1;
@@ -64,8 +66,8 @@
     }
 }
 
-fn check_result(found: Option<TrailFault>) -> Result<(), Failure> {
-    let report = match found {
+fn check_result(fault: Option<TrailFault>) -> Result<(), Failure> {
+    let report = match fault {
         None => return Ok(()),
         Some(TrailFault::Missing { expected, found }) => {
             miette::miette!("the trail has a gap: expected record {expected}, found {found}")
@@ -94,11 +96,11 @@
 
     fn passes(&self, entry: &TrailEntry) -> bool {
         let change = serde_json::to_value(&entry.record.change).unwrap_or_default();
-        let is = |name: &str, wanted: Option<&String>| {
+        let matches_field = |name: &str, wanted: Option<&String>| {
             wanted.is_none_or(|wanted| change[name].as_str() == Some(wanted))
         };
         let contains = self.text.is_none_or(|text| change.to_string().contains(text.as_str()));
-        is("kind", self.kind) && self.is_by(&entry.record.actor) && contains
+        matches_field("kind", self.kind) && self.is_by(&entry.record.actor) && contains
     }
 }
 
@@ -115,24 +117,24 @@
     let change = serde_json::to_value(&entry.record.change).unwrap_or_default();
     let kind = change["kind"].as_str().unwrap_or_default();
     let fields = change.as_object().into_iter().flatten().filter(|(name, _)| *name != "kind");
-    let fields = fields.map(|(name, value)| format!(" {name}={}", shown(value)));
+    let fields = fields.map(|(name, value)| format!(" {name}={}", json_text(value)));
     format!(
         "{:>6}  {}  revision {}  {}  {kind}{}",
         entry.sequence,
-        moment(entry.record.at.0),
+        timestamp(entry.record.at.0),
         entry.record.stamp.revision,
         entry.record.actor,
         fields.collect::<String>()
     )
 }
 
-/// JSON keeps a text on one line.
-fn shown(value: &Value) -> String {
+/// Formats a value as JSON, which keeps text on one line.
+fn json_text(value: &Value) -> String {
     value.to_string()
 }
 
-fn moment(unix_ms: u64) -> String {
-    let moment =
+fn timestamp(unix_ms: u64) -> String {
+    let timestamp =
         i64::try_from(unix_ms).ok().and_then(|ms| jiff::Timestamp::from_millisecond(ms).ok());
-    moment.map_or_else(|| format!("{unix_ms} ms"), |moment| moment.to_string())
+    timestamp.map_or_else(|| format!("{unix_ms} ms"), |timestamp| timestamp.to_string())
 }
--- a/crates/runtime/src/command/completions.rs
+++ b/crates/runtime/src/command/completions.rs
@@ -1,10 +1,10 @@
-//! `completions`: scripts that complete commands and flags in a shell.
+//! The command `completions`: prints a script that completes commands and flags in a shell.
 
 use super::Failure;
 use clap::{Arg, ArgMatches, Command, value_parser};
 use clap_complete::Shell;
 
-/// The command.
+/// Returns the command `completions`.
 #[must_use]
 pub fn completions_command() -> Command {
     Command::new("completions")
@@ -14,19 +14,20 @@
         )
 }
 
-/// Prints the script for a whole command line.
+/// Prints the completion script of a program's whole command line.
 ///
 /// # Errors
 ///
-/// When no shell is named.
-pub fn completions(matches: &ArgMatches, mut whole: Command) -> Result<(), Failure> {
+/// If the command line names no shell.
+pub fn completions(matches: &ArgMatches, mut program: Command) -> Result<(), Failure> {
     let shell: Shell = *matches
         .get_one("shell")
         .ok_or_else(|| Failure::Unusable(miette::miette!("name a shell")))?;
-    let name = whole.get_name().to_owned();
-    // Written in one go: a reader that closes early must not make the writer panic.
+    let name = program.get_name().to_owned();
+    // The generator panics if writing fails, for example because the reader of a pipe has closed
+    // it. The script is therefore generated in memory first.
     let mut script = Vec::new();
-    clap_complete::generate(shell, &mut whole, name, &mut script);
+    clap_complete::generate(shell, &mut program, name, &mut script);
     print!("{}", String::from_utf8_lossy(&script));
     Ok(())
 }
--- a/crates/runtime/src/command/fetch.rs
+++ b/crates/runtime/src/command/fetch.rs
@@ -1,19 +1,19 @@
-//! Reads from the operators' address of a running process.
+//! Reads from the operators' HTTP endpoints of a running process.
 
 use super::Failure;
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 
-/// A read that takes longer has failed.
+/// Timeout of a read.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Gets a JSON value.
+/// Reads a JSON value from an endpoint, blocking until it has arrived.
 pub(super) fn get<T: DeserializeOwned>(base_url: &str, path: &str) -> Result<T, Failure> {
     let url = format!("{}{path}", base_url.trim_end_matches('/'));
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .map_err(|error| Failure::Failed(miette::miette!("no runtime: {error}")))?;
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|error| {
+            Failure::Failed(miette::miette!("cannot start the async runtime: {error}"))
+        })?;
     runtime.block_on(read(&url)).map_err(|error| {
         Failure::Failed(miette::miette!(
             help = "name the operators' address of a running process, such as http://10.0.0.7:7401",
--- a/crates/runtime/src/command/mod.rs
+++ b/crates/runtime/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! Commands that both programs have, and what their exit codes mean.
+//! The subcommands that both programs have, and the meaning of their exit codes.
 
 mod audit;
 mod completions;
@@ -13,17 +13,17 @@
 
 use std::process::ExitCode;
 
-/// Exit codes, for `--help`.
+/// The list of exit codes in `--help`.
 pub const EXIT_CODES: &str = "Exit codes:
   0  done
   1  failed
   2  a flag, a file or its content cannot be used
   3  the audit trail has a gap or an altered record";
 
-/// How a command ended without success.
+/// The failure of a command, which determines its exit code.
 #[derive(Debug)]
 pub enum Failure {
-    /// It failed.
+    /// The command failed for another reason.
     Failed(miette::Report),
     /// A flag, a file or its content cannot be used.
     Unusable(miette::Report),
@@ -47,10 +47,10 @@
     }
 }
 
-/// Prints a failure and gives the exit code.
+/// Prints the failure of a command, if any, and returns the exit code.
 #[must_use]
-pub fn report_result(done: Result<(), Failure>) -> ExitCode {
-    match done {
+pub fn report_result(result: Result<(), Failure>) -> ExitCode {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             eprintln!("{:?}", failure.report());
@@ -59,7 +59,8 @@
     }
 }
 
-/// Prints what `clap` has to say, which may be help, and gives the exit code.
+/// Prints an error of `clap`, which may be the requested help or version, and returns the exit
+/// code.
 #[must_use]
 pub fn report_parse_error(error: &clap::Error) -> ExitCode {
     let _ = error.print();
--- a/crates/runtime/src/command/status.rs
+++ b/crates/runtime/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `status`: the state of a running process.
+//! The command `status`: prints the state of a running process.
 
 use super::Failure;
 use super::fetch::get;
@@ -6,7 +6,7 @@
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use hickorycross_config::Stamp;
 
-/// The command.
+/// Returns the command `status`.
 #[must_use]
 pub fn status_command() -> Command {
     Command::new("status")
@@ -30,11 +30,11 @@
     matches.get_one::<String>("url").map_or("", String::as_str)
 }
 
-/// Prints the state.
+/// Prints the state of the process, as text or as JSON.
 ///
 /// # Errors
 ///
-/// When the process cannot be reached.
+/// If the process cannot be reached.
 pub fn status(matches: &ArgMatches) -> Result<(), Failure> {
     let status: Status = get(url(matches), "/status")?;
     if matches.get_flag("json") {
@@ -52,7 +52,7 @@
         (false, false) => "not ready: waits for its first configuration",
     };
     let refused = status.refused.map_or_else(String::new, |stamp| {
-        format!("refused      {} (newer, has faults)\n", stamped(stamp))
+        format!("refused      {} (newer, has faults)\n", stamp_text(stamp))
     });
     let detail = match &status.detail {
         serde_json::Value::Null => String::new(),
@@ -65,12 +65,12 @@
         status.version,
         status.instance,
         status.incarnation,
-        stamped(status.stamp),
+        stamp_text(status.stamp),
         status.wall_offset_ms,
     )
 }
 
-fn stamped(stamp: Stamp) -> String {
+fn stamp_text(stamp: Stamp) -> String {
     if stamp == Stamp::NONE {
         return "none".to_owned();
     }
--- a/crates/runtime/src/settings/error.rs
+++ b/crates/runtime/src/settings/error.rs
@@ -1,31 +1,32 @@
-//! What is wrong with settings.
+//! Faults of settings, and the errors that report them.
 
 use miette::{Diagnostic, LabeledSpan, NamedSource, SourceSpan};
 use std::fmt;
 
-/// Longest value that a message quotes, in characters.
-const QUOTED_CHARS: usize = 80;
+/// Maximum length of a value in a message, in characters.
+const MAX_QUOTED_CHARS: usize = 80;
 
-/// One fault of a field.
+/// A fault in the value of one field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// Path of the field, such as `link_security.mutual_tls.key_file`.
     pub field: String,
-    /// What stands there.
+    /// The value or a description of what was found.
     pub found: String,
-    /// What is allowed.
+    /// A description of the allowed values.
     pub allowed: String,
 }
 
 impl Fault {
-    /// Makes a fault; a long value is cut.
+    /// Creates a fault; a long value is truncated.
     #[must_use]
     pub fn new(field: &str, found: &str, allowed: &str) -> Self {
-        let found = found.chars().take(QUOTED_CHARS).collect();
+        let found = found.chars().take(MAX_QUOTED_CHARS).collect();
         Self { field: field.to_owned(), found, allowed: allowed.to_owned() }
     }
 
-    pub(super) fn first_name(&self) -> &str {
+    /// Returns the top-level field that contains the faulty one.
+    pub(super) fn top_level_field(&self) -> &str {
         self.field.split('.').next().unwrap_or(&self.field)
     }
 
@@ -40,41 +41,41 @@
     }
 }
 
-/// A settings file that cannot be used.
+/// The reason why settings cannot be used.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 pub enum SettingsError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("cannot read the settings file {path}: {cause}")]
     #[diagnostic(code(settings::unreadable), help("name an existing file with --settings"))]
     Unreadable {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
-    /// It is not a JSON object.
+    /// The content of the file is not a JSON object.
     #[error("the settings file is not valid: {cause}")]
     #[diagnostic(code(settings::malformed), help("see docs/SETTINGS.md for every field"))]
     Malformed {
-        /// Why.
+        /// The error of the JSON parser.
         cause: String,
-        /// The file.
+        /// Name and content of the file.
         #[source_code]
         source_file: NamedSource<String>,
-        /// Where in it.
+        /// Position of the error in the content.
         #[label("here")]
         place: SourceSpan,
     },
-    /// Fields are missing, unknown, of another type, or do not fit.
+    /// Fields are missing, unknown, repeated or of the wrong type, or their values are not allowed.
     #[error("the settings cannot be used:\n{}", lines(faults))]
     #[diagnostic(code(settings::faults), help("see docs/SETTINGS.md for every field"))]
     Faults {
-        /// Every fault.
+        /// All faults that were found.
         faults: Vec<Fault>,
-        /// The file.
+        /// Name and content of the file.
         #[source_code]
         source_file: NamedSource<String>,
-        /// Where in it the faults stand, as far as they stand in the file.
+        /// Positions of the faulty fields that are in the file.
         #[label(collection)]
         places: Vec<LabeledSpan>,
     },
--- a/crates/runtime/src/settings/field.rs
+++ b/crates/runtime/src/settings/field.rs
@@ -1,39 +1,39 @@
-//! The fields of settings, one by one.
+//! The description of settings fields, and the check of given values against it.
 
 use super::error::Fault;
 use super::members::Member;
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
 
-/// How a field is written on the command line.
+/// The form of a field's value on the command line and in the environment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// As it is.
+    /// The text itself.
     Text,
-    /// As a JSON number.
+    /// A JSON number.
     Number,
-    /// Not at all: it holds further fields.
+    /// None, because the field contains further fields.
     Structure,
 }
 
-/// One field of the first level.
+/// A top-level field of the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Field {
-    /// Its name.
+    /// Name of the field.
     pub name: &'static str,
-    /// How flags write it.
+    /// Form of the value in flags and in the environment.
     pub kind: Kind,
-    /// Whether the file must have it, unless a flag or the environment gives it.
+    /// Whether a value is required in the file, the environment or a flag.
     pub required: bool,
-    /// What it is, for `--help`.
+    /// Description for `--help`.
     pub about: &'static str,
-    /// What is allowed, for messages.
+    /// Description of the allowed values, for messages.
     pub allowed: &'static str,
     parse: fn(&Value) -> Result<(), String>,
 }
 
 impl Field {
-    /// A field without a default.
+    /// Describes a field without a default.
     #[must_use]
     pub const fn required<T: DeserializeOwned>(
         name: &'static str,
@@ -44,7 +44,7 @@
         Self { name, kind, required: true, about, allowed, parse: parse::<T> }
     }
 
-    /// A field with a default.
+    /// Describes a field with a default.
     #[must_use]
     pub const fn optional<T: DeserializeOwned>(
         name: &'static str,
@@ -60,33 +60,33 @@
     T::deserialize(value).map(|_| ()).map_err(|error| error.to_string())
 }
 
-/// What file, environment and flags give.
+/// The values from the file, the environment and flags.
 pub(super) struct Given<'a> {
-    /// The file's members, as they stand there.
+    /// The members of the file, in its order and with repetitions.
     pub(super) members: &'a [Member<'a>],
-    /// The same with the overrides in their places.
+    /// The members with the overrides applied.
     pub(super) merged: &'a Map<String, Value>,
 }
 
-/// Finds unknown, repeated, missing and mistyped fields.
+/// Returns a fault for each unknown, repeated, missing and mistyped field.
 pub(super) fn check(fields: &[Field], given: &Given<'_>) -> Vec<Fault> {
-    let mut faults = unknown(fields, given);
-    faults.extend(repeated(given));
+    let mut faults = unknown_fields(fields, given);
+    faults.extend(repeated_fields(given));
     faults.extend(fields.iter().filter_map(|field| check_field(field, given)));
     faults
 }
 
-fn unknown(fields: &[Field], given: &Given<'_>) -> Vec<Fault> {
+fn unknown_fields(fields: &[Field], given: &Given<'_>) -> Vec<Fault> {
     let names = fields.iter().map(|field| field.name).collect::<Vec<_>>().join(", ");
     let is_known = |member: &&Member<'_>| fields.iter().any(|field| field.name == member.name);
     let unknown = given.members.iter().filter(|member| !is_known(member));
-    // The value is not quoted: a secret may have been put into the wrong field.
+    // The value is not quoted, because it may be a secret that belongs to another field.
     unknown
         .map(|member| Fault::new(&member.name, "an unknown field", &format!("one of {names}")))
         .collect()
 }
 
-fn repeated(given: &Given<'_>) -> Vec<Fault> {
+fn repeated_fields(given: &Given<'_>) -> Vec<Fault> {
     let members = given.members;
     let is_repeated = |(index, member): &(usize, &Member<'_>)| {
         members[..*index].iter().any(|before| before.name == member.name)
@@ -98,11 +98,11 @@
 fn check_field(field: &Field, given: &Given<'_>) -> Option<Fault> {
     match given.merged.get(field.name) {
         None => field.required.then(|| Fault::new(field.name, "nothing", field.allowed)),
-        Some(value) => mistyped(field, value),
+        Some(value) => type_fault(field, value),
     }
 }
 
-fn mistyped(field: &Field, value: &Value) -> Option<Fault> {
+fn type_fault(field: &Field, value: &Value) -> Option<Fault> {
     let cause = (field.parse)(value).err()?;
     let allowed = match field.kind {
         Kind::Structure => format!("{} ({cause})", field.allowed),
--- a/crates/runtime/src/settings/mod.rs
+++ b/crates/runtime/src/settings/mod.rs
@@ -1,9 +1,11 @@
-//! Settings of the programs: a JSON file, overridden by environment and flags.
+//! Settings of the programs: a JSON file whose fields can be overridden by the environment and by
+//! flags.
 //!
-//! A program lists its fields as [`Field`]s. From that list come the flags, the environment's
-//! names, and the check that reports every unknown, missing and mistyped field at once, with its
-//! place in the file. Spans of time in a file are spans, in milliseconds (`_ms`), because a file
-//! has no moment of its own; the programs store the deadlines that follow from them.
+//! A program lists its fields as [`Field`]s. The flags and the names of environment variables are
+//! derived from that list, and so is the check, which reports every unknown, missing and mistyped
+//! field together with its position in the file. Times in a file are durations in milliseconds
+//! (`_ms`), because a file has no start time that a deadline could refer to; the programs derive
+//! deadlines from them.
 
 mod error;
 mod field;
@@ -21,31 +23,31 @@
 use serde_json::{Map, Value};
 use std::path::Path;
 
-/// Settings that can be loaded.
+/// The settings of a program, which can be loaded with [`load`].
 pub trait Settings: DeserializeOwned {
-    /// Every field of the file's first level.
+    /// All top-level fields of the file.
     const FIELDS: &'static [Field];
 
-    /// Faults of values that have the right types and do not fit.
+    /// Returns the faults of values that have the right type but are not allowed.
     fn faults(&self) -> Vec<Fault>;
 }
 
-/// Reads a settings file and lays the overrides over it.
+/// Loads settings from a file and overrides.
 ///
 /// # Errors
 ///
-/// When it cannot be read, or with every fault found.
+/// If the file cannot be read, or the settings have faults; all of them are reported.
 pub fn load<T: Settings>(path: &Path, overrides: &Overrides) -> Result<T, SettingsError> {
     let text = std::fs::read_to_string(path)
         .map_err(|cause| SettingsError::Unreadable { path: path.display().to_string(), cause })?;
     read(&path.display().to_string(), &text, overrides)
 }
 
-/// Reads settings from text; `name` stands for the file in messages.
+/// Reads settings from text and overrides; messages use `name` as the name of the file.
 ///
 /// # Errors
 ///
-/// With every fault found.
+/// If the text is not a JSON object, or the settings have faults; all of them are reported.
 pub fn read<T: Settings>(
     name: &str,
     text: &str,
@@ -70,20 +72,20 @@
     Err(source.refused(&found, faults))
 }
 
-/// The file's members with the overrides in their places.
+/// Returns the members of the file with the overrides applied.
 fn merged(found: &[Member<'_>], overrides: &Overrides) -> Map<String, Value> {
-    let mut whole = Map::new();
+    let mut object = Map::new();
     for member in found {
         let value = serde_json::from_str(member.raw.get()).unwrap_or(Value::Null);
-        whole.insert(member.name.clone(), value);
+        object.insert(member.name.clone(), value);
     }
     for (path, value) in overrides.iter() {
-        put(&mut whole, path, value.clone());
+        set_at_path(&mut object, path, value.clone());
     }
-    whole
+    object
 }
 
-fn put(object: &mut Map<String, Value>, path: &[&str], value: Value) {
+fn set_at_path(object: &mut Map<String, Value>, path: &[&str], value: Value) {
     match path {
         [] => {}
         [last] => {
@@ -96,13 +98,13 @@
                 *inner = Value::Object(Map::new());
             }
             if let Value::Object(inner) = inner {
-                put(inner, rest, value);
+                set_at_path(inner, rest, value);
             }
         }
     }
 }
 
-/// The text that faults point into.
+/// The text of a settings file, for error messages that show positions in it.
 struct Source<'t> {
     name: &'t str,
     text: &'t str,
@@ -126,7 +128,7 @@
         let places = faults
             .iter()
             .filter_map(|fault| {
-                let member = found.iter().rfind(|member| member.name == fault.first_name())?;
+                let member = found.iter().rfind(|member| member.name == fault.top_level_field())?;
                 let label = Some(fault.allowed_text());
                 Some(LabeledSpan::new_with_span(label, span_of(self.text, member)))
             })
@@ -141,12 +143,14 @@
     offset.min(text.len().saturating_sub(1))
 }
 
-/// Makes faults of the checks that failed: name of the field, what was found, whether it fits.
+/// Returns a fault for each failed check.
+///
+/// A check consists of the name of a field, the value that was found, and whether it is allowed.
 #[must_use]
 pub fn faults_of_checks<T: Settings, const N: usize>(
     checks: [(&str, String, bool); N],
 ) -> Vec<Fault> {
-    let failed = checks.into_iter().filter(|(_, _, fits)| !fits);
+    let failed = checks.into_iter().filter(|(_, _, is_allowed)| !is_allowed);
     failed.map(|(name, found, _)| Fault::new(name, &found, allowed_of::<T>(name))).collect()
 }
 
--- a/crates/runtime/src/settings/overrides.rs
+++ b/crates/runtime/src/settings/overrides.rs
@@ -1,13 +1,13 @@
-//! Flags and environment that override fields of the file.
+//! Flags and environment variables that override fields of the file.
 
 use super::field::{Field, Kind};
 use clap::{Arg, ArgMatches, value_parser};
 use serde_json::Value;
 use std::path::PathBuf;
 
-/// Before the names of fields in the environment.
+/// Prefix of the names of environment variables for fields.
 const ENVIRONMENT_PREFIX: &str = "HICKORYCROSS_";
-/// Flags for the files of a link's keys: flag, path of the field, help.
+/// Flags for the files with the keys of links: name, path of the field, help text.
 const KEY_FILES: [(&str, [&str; 3], &str); 3] = [
     (
         "link-authority-file",
@@ -26,12 +26,12 @@
     ),
 ];
 
-/// Values that stand in place of the file's.
+/// Values that replace those of the file, each with the path of its field.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides(Vec<(Vec<&'static str>, Value)>);
 
 impl Overrides {
-    /// Takes the values out of a command line that has the [`arguments`].
+    /// Collects the overrides of a command line that was parsed with [`arguments`].
     #[must_use]
     pub fn of(fields: &[Field], matches: &ArgMatches) -> Self {
         let mut overrides = Self::default();
@@ -48,7 +48,7 @@
         overrides
     }
 
-    /// Sets one value.
+    /// Adds an override of the field at a path.
     pub fn set(&mut self, path: &[&'static str], value: Value) {
         self.0.push((path.to_vec(), value));
     }
@@ -58,7 +58,8 @@
     }
 }
 
-/// A text that is no number stays a text, and is then reported as one of the wrong type.
+/// Converts the text of a flag to a value. Text that is not a number although one is expected stays
+/// text, so that the check reports it as having the wrong type.
 fn value_of(kind: Kind, text: &str) -> Value {
     match kind {
         Kind::Number => {
@@ -68,7 +69,8 @@
     }
 }
 
-/// The flags of a command that reads settings: `--settings` and one for each field.
+/// Returns the flags of a command that reads settings: `--settings`, one for each scalar field, and
+/// those for the key files.
 #[must_use]
 pub fn arguments(fields: &[Field]) -> Vec<Arg> {
     let scalar = fields.iter().filter(|field| field.kind != Kind::Structure);
