--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,14 +1,14 @@
-//! The moments that a program hands to its core.
+//! The clock that provides the time for a program's core.
 
 use hickorycross_core::Now;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// A clock that never goes back.
+/// A clock that never goes backwards.
 ///
-/// It is anchored to the wall clock once, at start, and then follows the monotonic clock. Were the
-/// wall clock followed, an operator or a time service that sets it back an hour would let expired
-/// work begin, and one that sets it forward would expire everything at once; [`wall_offset_ms`]
-/// shows such a step instead.
+/// It reads the wall clock once, at start, and then advances with the monotonic clock. If it
+/// followed the wall clock, a step back by an operator or a time service would let expired work
+/// start, and a step forward would make all deadlines expire at once. [`wall_offset_ms`] reports
+/// such a step instead.
 ///
 /// [`wall_offset_ms`]: SteadyClock::wall_offset_ms
 #[derive(Clone, Copy, Debug)]
@@ -18,20 +18,20 @@
 }
 
 impl SteadyClock {
-    /// Anchors a clock to the present wall clock.
+    /// Starts a clock at the current time of the wall clock.
     #[must_use]
     pub fn start() -> Self {
         Self { anchor: Instant::now(), anchor_unix_ms: wall_unix_ms() }
     }
 
-    /// The present moment.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Now {
         let elapsed_ms = u64::try_from(self.anchor.elapsed().as_millis()).unwrap_or(u64::MAX);
         Now::at(self.anchor_unix_ms.saturating_add(elapsed_ms))
     }
 
-    /// How far the wall clock is ahead of this clock; negative when it is behind.
+    /// Returns the milliseconds by which the wall clock is ahead of this clock; negative if behind.
     #[must_use]
     pub fn wall_offset_ms(&self) -> i64 {
         let wall = i64::try_from(wall_unix_ms()).unwrap_or(i64::MAX);
--- a/crates/runtime/src/logs.rs
+++ b/crates/runtime/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs: one line of key=value pairs for each event, on standard error.
+//! Logging of events on standard error, each as one line of key=value pairs.
 
 use logforth::append::Stderr;
 use logforth::diagnostic::Diagnostic;
@@ -7,18 +7,18 @@
 use logforth::record::Record;
 use std::fmt::Write;
 
-/// Targets of libraries that speak of their own business, unless the filter names them.
-const QUIET: &str = "rocket=off,rocket_http=off,quinn=error,hyper=error";
+/// Default filter that silences libraries; the filter of the settings can override it.
+const LIBRARY_FILTER: &str = "rocket=off,rocket_http=off,quinn=error,hyper=error";
 
-/// Sends every log line to standard error.
+/// Installs the logger of the process, which writes to standard error.
 ///
 /// `filter` has the form of `RUST_LOG`: a level, or `target=level` pairs with commas between them.
 ///
 /// # Errors
 ///
-/// When logs have been set up before, or the filter cannot be read.
+/// If a logger has already been installed, or the filter is not valid.
 pub fn install(filter: &str) -> Result<(), LogsError> {
-    let filter = RustLogFilterBuilder::try_from_spec(format!("{QUIET},{filter}"))
+    let filter = RustLogFilterBuilder::try_from_spec(format!("{LIBRARY_FILTER},{filter}"))
         .map_err(|error| LogsError(error.to_string()))?;
     logforth::starter_log::builder()
         .dispatch(|dispatch| {
@@ -30,23 +30,22 @@
         .map_err(|error| LogsError(error.to_string()))
 }
 
-/// Whether a filter can be read.
+/// Whether a filter is valid.
 #[must_use]
 pub fn is_filter(filter: &str) -> bool {
     RustLogFilterBuilder::try_from_spec(filter).is_ok()
 }
 
-/// Writes every event as exactly one line.
+/// A logfmt layout that writes every event as exactly one line.
 ///
-/// The layout of the library quotes only values with a space, a quote or an equals sign. A caller
-/// who puts a line feed into a value without any of these would begin a line of its own, and an
-/// operator would read what the caller wrote as the process's word. Here every control character
-/// and line separator becomes an escape.
+/// The layout of the library quotes only values that contain a space, a quote or an equals sign. A
+/// caller could send a value with a line feed and none of these, and so forge a log line that looks
+/// like one of the process. This layout escapes every control character and line separator.
 #[derive(Debug)]
 pub struct SingleLineLayout(LogfmtLayout);
 
 impl SingleLineLayout {
-    /// Makes the layout, with moments in UTC.
+    /// Creates the layout, with timestamps in UTC.
     #[must_use]
     pub fn new() -> Self {
         Self(LogfmtLayout::default().timezone(jiff::tz::TimeZone::UTC))
@@ -86,7 +85,7 @@
     character.is_control() || matches!(character, '\u{2028}' | '\u{2029}')
 }
 
-/// Logs could not be set up.
+/// The error when the logger cannot be set up.
 #[derive(Debug, thiserror::Error)]
 #[error("logs cannot be set up: {0}")]
 pub struct LogsError(String);
--- a/crates/runtime/src/server.rs
+++ b/crates/runtime/src/server.rs
@@ -1,4 +1,4 @@
-//! HTTP servers of the programs.
+//! Configuration and start of the programs' HTTP servers.
 
 use rocket::config::{Config, Ident, LogLevel, Shutdown, TlsConfig};
 use rocket::data::Limits;
@@ -6,23 +6,24 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Seconds that Rocket grants connections after it was told to stop, before it cuts them. Whatever
-/// the open answers, it waits for all of them when a connection is open, idle ones too; so it is
-/// told only when every answer is out, and then needs little.
+/// Seconds after the start of a shutdown in which Rocket lets open connections finish.
+///
+/// Rocket waits this long whenever a connection is open, even an idle one. The programs therefore
+/// start the shutdown only after all responses have been sent, and a short time is enough.
 const GRACE_S: u32 = 1;
-/// Seconds more before Rocket gives up.
+/// Further seconds before Rocket closes the remaining connections by force.
 const MERCY_S: u32 = 1;
 
-/// A server that has not been started.
+/// Creates a server without TLS, to be started with [`start`].
 ///
-/// Rocket handles no signal: the programs do, because their cores decide when nothing is left to
-/// finish.
+/// Rocket handles no signals. The programs handle them, because their cores decide when no requests
+/// are left.
 #[must_use]
 pub fn build(address: SocketAddr) -> Rocket<Build> {
     build_with_tls(address, None)
 }
 
-/// Files with the keys of a server.
+/// The files with a server's certificate chain and key.
 #[derive(Clone, Copy, Debug)]
 pub struct TlsFiles<'a> {
     /// Certificate chain, in PEM.
@@ -31,8 +32,8 @@
     pub key_file: &'a Path,
 }
 
-/// A server that has not been started, with TLS where files are given. Rocket reads the files once,
-/// at start.
+/// Creates a server as [`build`] does, with TLS if files are given. Rocket reads the files once, at
+/// start.
 #[must_use]
 pub fn build_with_tls(address: SocketAddr, tls: Option<TlsFiles<'_>>) -> Rocket<Build> {
     let shutdown = Shutdown {
@@ -56,21 +57,21 @@
     rocket::custom(config)
 }
 
-/// A server that runs.
+/// A running server.
 pub struct RunningServer {
     shutdown: ShutdownHandle,
     task: tokio::task::JoinHandle<()>,
 }
 
 impl RunningServer {
-    /// Makes it accept nothing new, and waits until its answers are out.
+    /// Stops accepting connections and waits until the open ones are closed.
     pub async fn stop(self) {
         self.shutdown.notify();
         let _ = self.task.await;
     }
 }
 
-/// Why a server does not start.
+/// The error when a server cannot start.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot serve HTTP on {address}: {cause}")]
 pub struct ServeError {
@@ -78,38 +79,38 @@
     cause: String,
 }
 
-/// Starts a server and returns when it accepts connections.
+/// Starts a server and returns once it accepts connections.
 ///
 /// # Errors
 ///
-/// When the address cannot be bound or the routes collide.
+/// If the address cannot be bound or the routes collide.
 pub async fn start(
     address: SocketAddr,
     rocket: Rocket<Build>,
 ) -> Result<RunningServer, ServeError> {
-    let failed = |cause: String| ServeError { address, cause };
-    let (up, is_up) = tokio::sync::oneshot::channel();
-    let up = std::sync::Mutex::new(Some(up));
+    let error_with = |cause: String| ServeError { address, cause };
+    let (started_sender, started) = tokio::sync::oneshot::channel();
+    let started_sender = std::sync::Mutex::new(Some(started_sender));
     let announce = rocket::fairing::AdHoc::on_liftoff("announce", move |_| {
         Box::pin(async move {
-            let up = up.lock().ok().and_then(|mut up| up.take());
-            if let Some(up) = up {
-                let _ = up.send(());
+            let sender = started_sender.lock().ok().and_then(|mut sender| sender.take());
+            if let Some(sender) = sender {
+                let _ = sender.send(());
             }
         })
     });
     let ignited =
-        rocket.attach(announce).ignite().await.map_err(|error| failed(error.to_string()))?;
+        rocket.attach(announce).ignite().await.map_err(|error| error_with(error.to_string()))?;
     let shutdown = ignited.shutdown();
-    let (fail, failure) = tokio::sync::oneshot::channel();
+    let (failure_sender, failure) = tokio::sync::oneshot::channel();
     let task = tokio::spawn(async move {
         if let Err(error) = ignited.launch().await {
-            let _ = fail.send(error.to_string());
+            let _ = failure_sender.send(error.to_string());
         }
     });
     tokio::select! {
-        Ok(()) = is_up => Ok(RunningServer { shutdown, task }),
-        Ok(cause) = failure => Err(failed(cause)),
-        else => Err(failed("it ended at once".to_owned())),
+        Ok(()) = started => Ok(RunningServer { shutdown, task }),
+        Ok(cause) = failure => Err(error_with(cause)),
+        else => Err(error_with("the server stopped during its start".to_owned())),
     }
 }
--- a/crates/runtime/src/signals.rs
+++ b/crates/runtime/src/signals.rs
@@ -1,10 +1,10 @@
-//! Signals that stop a process.
+//! The signals that stop a process.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// SIGTERM and SIGINT, in the order in which they come.
+/// A stream of SIGTERM and SIGINT.
 ///
-/// The first asks for a graceful shutdown; the second ends the process at once.
+/// Programs shut down gracefully after the first signal and exit immediately after the second.
 #[derive(Debug)]
 pub struct StopSignals {
     terminate: Signal,
@@ -12,11 +12,11 @@
 }
 
 impl StopSignals {
-    /// Takes the signals over from the system's defaults.
+    /// Installs handlers in place of the default actions of the signals.
     ///
     /// # Errors
     ///
-    /// When the system refuses.
+    /// If the operating system rejects a handler.
     pub fn install() -> std::io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -24,7 +24,7 @@
         })
     }
 
-    /// Waits for the next of them.
+    /// Waits for the next signal.
     pub async fn next(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
--- a/crates/runtime/tests/logs.rs
+++ b/crates/runtime/tests/logs.rs
@@ -1,15 +1,14 @@
-//! Lines of the log.
+//! Tests of the log layout.
 
 use googletest::prelude::*;
 use hickorycross_runtime::logs::SingleLineLayout;
 use logforth::layout::Layout;
 use logforth::record::{Level, Record};
 
-// Symptom: the log tells of an event that never was.
-// Sequence: a caller sends a path or a header with a line feed in it, which is logged.
-// Cause: values written as they are; a line feed begins a line that looks like the process's own.
+/// Guards against forged log lines: a caller sends a path or a header with a line feed, and the
+/// value is logged without escapes, so that the rest of it looks like a line of the process.
 #[gtest]
-fn no_value_begins_a_line() {
+fn line_breaks_in_values_are_escaped() {
     let values = [
         "plain",
         "a\nlevel=ERROR",
