--- a/crates/runtime/src/link/connection.rs
+++ b/crates/runtime/src/link/connection.rs
@@ -190,7 +190,7 @@
             return;
         };
         let Some(attempt) = first.attempt() else {
-            self.connection.close(1_u32.into(), b"first frame of a stream belongs to no attempt");
+            self.connection.close(1_u32.into(), b"a stream without an attempt");
             return;
         };
         let _ = self.commands.send(Command::Register { attempt, stream: send });
--- a/crates/runtime/src/security/renewal.rs
+++ b/crates/runtime/src/security/renewal.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// Spawns a task that checks the key files every [`CHECK_INTERVAL`] and loads changed ones.
+/// Spawns a task that checks the key files every few seconds and loads changed ones.
 ///
 /// Without it, a process whose certificate files were renewed would still lose all its links when
 /// the certificate loaded at start expires. If the files cannot be used, the current keys stay in
