--- a/crates/runtime/src/follower.rs
+++ b/crates/runtime/src/follower.rs
@@ -1,9 +1,10 @@
 //! Keeps a process on the newest configuration document.
 //!
-//! Entries and agents receive documents from the platform and from their peers, pass them on to
-//! other peers, and do not serve until a few peers have told them which document they hold. The
-//! core decides ([`Exchange`], [`StartGate`]); [`ConfigFollower`] carries the decisions out on
-//! links and hands each adopted document to the driver.
+//! Entries and agents receive documents from the platform and from their peers, and pass them on to
+//! other peers. At start they ask a few peers which document these hold; an entry does not serve
+//! before the answers have arrived or have been waited for long enough. The core decides
+//! ([`Exchange`], [`StartGate`]); [`ConfigFollower`] carries the decisions out on links and hands
+//! each adopted document to the driver.
 
 use crate::link::Links;
 use crate::platform::{FollowMode, PlatformEvent};
@@ -88,7 +89,7 @@
         self.exchange.stamp()
     }
 
-    /// Whether the start gate allows serving.
+    /// Whether the start gate is open, so that an entry may serve.
     ///
     /// The gate opens when enough peers have sent their stamp or the wait for them has timed out.
     #[must_use]
