--- a/crates/runtime/src/link/mod.rs
+++ b/crates/runtime/src/link/mod.rs
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// If the address cannot be bound.
     pub fn listen(&self, address: SocketAddr) -> std::io::Result<listen::Listener> {
         listen::listen(Arc::clone(&self.shared), address)
     }
