--- a/crates/agent/src/driver.rs
+++ b/crates/agent/src/driver.rs
@@ -14,12 +14,12 @@
 use hickorycross_core::{AttemptId, InstanceId, LinkId, Verdict};
 use hickorycross_protocol::{Frame, Hello, PeerRole};
 use hickorycross_runtime::clock::SteadyClock;
-use hickorycross_runtime::follower::{ConfigFollower, Followed};
+use hickorycross_runtime::follower::{ConfigFollower, ConfigUpdate};
 use hickorycross_runtime::link::{LinkEvent, Links};
-use hickorycross_runtime::operators::Inspect;
+use hickorycross_runtime::operators::StatusSource;
 use hickorycross_runtime::platform::PlatformEvent;
 use hickorycross_runtime::trail::Trail;
-use hickorycross_runtime::view::View;
+use hickorycross_runtime::view::ProcessView;
 use indexmap::IndexMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -50,7 +50,7 @@
     pub(crate) instance: InstanceId,
     pub(crate) links: Links,
     pub(crate) backend: BackendClient,
-    pub(crate) view: Arc<View>,
+    pub(crate) view: Arc<ProcessView>,
     pub(crate) trail: Arc<Trail>,
     pub(crate) clock: SteadyClock,
 }
@@ -205,7 +205,7 @@
                 log::debug!(target: "link", link = link.0, reason = reason.as_str(); "closed");
                 self.parts.group.on_link_closed(link);
                 self.agent_links.swap_remove(&link);
-                let update = self.parts.follower.closed(self.parts.clock.now(), link);
+                let update = self.parts.follower.link_closed(self.parts.clock.now(), link);
                 self.apply_update(update);
                 self.handle(AgentEvent::LinkClosed { link });
             }
@@ -225,7 +225,7 @@
                 }
             }
         }
-        let update = self.parts.follower.greeted(now, link, hello.stamp);
+        let update = self.parts.follower.receive_hello(now, link, hello.stamp);
         self.apply_update(update);
     }
 
@@ -241,13 +241,13 @@
             Frame::RankLoad(load) => self.parts.group.on_load_report(now, *load),
             Frame::ToAgent(message) => {
                 if let ToAgent::Heartbeat { stamp, .. } = &message {
-                    let update = self.parts.follower.heard(now, link, *stamp);
+                    let update = self.parts.follower.learn_peer_stamp(now, link, *stamp);
                     self.apply_update(update);
                 }
                 self.handle(AgentEvent::Message { link, message });
             }
             other => {
-                let update = self.parts.follower.frame(now, link, &other);
+                let update = self.parts.follower.receive_frame(now, link, &other);
                 self.apply_update(update);
             }
         }
@@ -257,7 +257,7 @@
         if let PlatformEvent::Instances(instances) = &event {
             self.parts.group.set_instances(instances);
         }
-        let update = self.parts.follower.platform(self.parts.clock.now(), &event);
+        let update = self.parts.follower.receive_platform_event(self.parts.clock.now(), &event);
         self.apply_update(update);
     }
 
@@ -265,10 +265,10 @@
     ///
     /// An adopted document goes to the metrics exporter, the group and the core, and is then
     /// announced to the peers. A conflicting document of the same revision goes to the core only.
-    fn apply_update(&mut self, update: Option<Followed>) {
+    fn apply_update(&mut self, update: Option<ConfigUpdate>) {
         let (stamp, document) = match update {
-            Some(Followed::Adopted { stamp, document }) => (stamp, document),
-            Some(Followed::Rival(document)) => {
+            Some(ConfigUpdate::Adopted { stamp, document }) => (stamp, document),
+            Some(ConfigUpdate::Conflict(document)) => {
                 return self.handle(AgentEvent::ConflictingDocument { document });
             }
             None => return,
--- a/crates/runtime/src/follower.rs
+++ b/crates/runtime/src/follower.rs
@@ -1,13 +1,15 @@
-//! Follows the configuration on behalf of a driver.
+//! Keeps a process on the newest configuration document.
 //!
-//! Both programs hear of documents from the platform and from their peers, pass them on, and keep
-//! from serving until a few peers have been heard. The decisions are the core's; this carries them
-//! out and hands each adopted document to the driver.
+//! Entries and agents receive documents from the platform and from their peers, and pass them on to
+//! other peers. At start they ask a few peers which document these hold; an entry does not serve
+//! before the answers have arrived or have been waited for long enough. The core decides
+//! ([`Exchange`], [`StartGate`]); [`ConfigFollower`] carries the decisions out on links and hands
+//! each adopted document to the driver.
 
 use crate::link::Links;
-use crate::platform::{Follow, PlatformEvent};
+use crate::platform::{FollowMode, PlatformEvent};
 use crate::trail::Trail;
-use crate::view::View;
+use crate::view::ProcessView;
 use hickorycross_config::{Document, Stamp};
 use hickorycross_core::adoption::{Exchange, ExchangeAction, Probe, StartGate, is_watcher};
 use hickorycross_core::{Instance, InstanceId, LinkId, Now};
@@ -15,26 +17,26 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// What a follower acts on.
+/// The parts of the process that a [`ConfigFollower`] uses.
 pub struct FollowerParts {
-    /// The process's own instance.
+    /// The instance of this process.
     pub own: InstanceId,
     /// The first of [`StartGate::link_count`] link numbers that nothing else uses.
     pub first_gate_link: LinkId,
-    /// Reaches the peers.
+    /// The links to the peers.
     pub links: Links,
-    /// Shows the stamps in force and refused.
-    pub view: Arc<View>,
-    /// Takes the audit records.
+    /// Receives the stamps of the document in force and of the refused one.
+    pub view: Arc<ProcessView>,
+    /// Receives the audit records.
     pub trail: Arc<Trail>,
-    /// Tells the reader of the platform how to follow.
-    pub follow: watch::Sender<Follow>,
+    /// Sets how [`platform::follow`](crate::platform::follow) reads the configuration service.
+    pub follow_mode: watch::Sender<FollowMode>,
 }
 
-/// What a follower learnt that concerns the driver's core.
+/// A change of the configuration that the driver passes to its core.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Followed {
-    /// A document is in force from now on. The driver hands it to its core and then calls
+pub enum ConfigUpdate {
+    /// A document has come into force. The driver passes it to its core and then calls
     /// [`ConfigFollower::announce`].
     Adopted {
         /// Its stamp.
@@ -42,26 +44,27 @@
         /// Its content.
         document: Arc<Document>,
     },
-    /// A peer holds this document under the very revision that is in force here.
-    Rival(Arc<Document>),
+    /// A peer holds this document under the revision that is in force here, with another content.
+    Conflict(Arc<Document>),
 }
 
-/// Follows the configuration: exchanges documents with peers and runs the start gate.
+/// Exchanges configuration documents with peers and runs the start gate.
 ///
-/// What it is told may put one document in force, or show a rival of it; that is returned.
+/// The methods that take an event return a [`ConfigUpdate`] if the event put a document in force or
+/// revealed a conflicting one.
 pub struct ConfigFollower {
     parts: FollowerParts,
     exchange: Exchange,
     gate: StartGate,
     offers: OfferCache,
-    /// Whether it is among the few that watch the platform's service.
-    watches: bool,
-    /// What was adopted and not announced yet.
+    /// Whether this process is one of the few that watch the platform's service.
+    is_watcher: bool,
+    /// The stamp of an adopted document that has not been announced to the peers yet.
     unannounced: Option<Stamp>,
 }
 
 impl ConfigFollower {
-    /// A follower without a document, its gate closed.
+    /// Creates a follower without a document and with a closed start gate.
     #[must_use]
     pub fn new(parts: FollowerParts) -> Self {
         Self {
@@ -69,7 +72,7 @@
             parts,
             exchange: Exchange::default(),
             offers: OfferCache::default(),
-            watches: true,
+            is_watcher: true,
             unannounced: None,
         }
     }
@@ -80,70 +83,79 @@
         self.exchange.in_force().is_some()
     }
 
-    /// The stamp of the document in force, [`Stamp::NONE`] before the first.
+    /// Returns the stamp of the document in force, [`Stamp::NONE`] before the first.
     #[must_use]
     pub fn stamp(&self) -> Stamp {
         self.exchange.stamp()
     }
 
-    /// Whether enough peers have been heard to serve.
+    /// Whether the start gate is open, so that an entry may serve.
+    ///
+    /// The gate opens when enough peers have sent their stamp or the wait for them has timed out.
     #[must_use]
     pub fn is_gate_open(&self, now: Now) -> bool {
         self.gate.is_open(now)
     }
 
-    /// Whether the link was opened for the start gate; the core knows nothing of such links.
+    /// Whether a link was opened for the start gate. The core of the driver does not know such
+    /// links.
     #[must_use]
-    pub fn owns(&self, link: LinkId) -> bool {
+    pub fn is_gate_link(&self, link: LinkId) -> bool {
         self.gate.owns(link)
     }
 
-    /// Repeats lost requests and closes links of the gate; to be called several times a second.
-    #[must_use = "the core has to hear of the document"]
-    pub fn tick(&mut self, now: Now) -> Option<Followed> {
+    /// Repeats unanswered requests for documents and closes links that the start gate no longer
+    /// needs; to be called several times a second.
+    #[must_use = "the driver must pass the update to its core"]
+    pub fn tick(&mut self, now: Now) -> Option<ConfigUpdate> {
         let actions = self.exchange.tick(now);
-        let followed = self.act(actions);
-        self.settle_gate();
-        followed
+        let update = self.apply_actions(actions);
+        self.close_finished_gate_links();
+        update
     }
 
-    /// Forgets a link that has ended.
-    #[must_use = "the core has to hear of the document"]
-    pub fn closed(&mut self, now: Now, link: LinkId) -> Option<Followed> {
+    /// Handles the end of a link.
+    #[must_use = "the driver must pass the update to its core"]
+    pub fn link_closed(&mut self, now: Now, link: LinkId) -> Option<ConfigUpdate> {
         self.gate.link_closed(link);
         let actions = self.exchange.link_closed(now, link);
-        self.act(actions)
+        self.apply_actions(actions)
     }
 
-    /// Learns from a greeting what is in force at a peer.
-    #[must_use = "the core has to hear of the document"]
-    pub fn greeted(&mut self, now: Now, link: LinkId, stamp: Stamp) -> Option<Followed> {
-        let followed = self.heard(now, link, stamp);
+    /// Handles the hello of a peer, which contains the stamp of the document in force there.
+    #[must_use = "the driver must pass the update to its core"]
+    pub fn receive_hello(&mut self, now: Now, link: LinkId, stamp: Stamp) -> Option<ConfigUpdate> {
+        let update = self.learn_peer_stamp(now, link, stamp);
         if self.gate.owns(link) {
             self.gate.peer_answered(link);
-            self.settle_gate();
+            self.close_finished_gate_links();
         }
-        followed
+        update
     }
 
-    /// Learns from a heartbeat or an announcement what is in force at a peer.
-    #[must_use = "the core has to hear of the document"]
-    pub fn heard(&mut self, now: Now, link: LinkId, stamp: Stamp) -> Option<Followed> {
+    /// Handles the stamp of the document in force at a peer, from a heartbeat or an announcement.
+    #[must_use = "the driver must pass the update to its core"]
+    pub fn learn_peer_stamp(
+        &mut self,
+        now: Now,
+        link: LinkId,
+        stamp: Stamp,
+    ) -> Option<ConfigUpdate> {
         let actions = self.exchange.learn_peer_stamp(now, link, stamp);
-        self.act(actions)
+        self.apply_actions(actions)
     }
 
-    /// Takes a frame that is not the driver's own; one that is not about the configuration is
-    /// unexpected and is logged.
-    #[must_use = "the core has to hear of the document"]
-    pub fn frame(&mut self, now: Now, link: LinkId, frame: &Frame) -> Option<Followed> {
+    /// Handles a frame that the driver does not handle itself. A frame that does not concern the
+    /// configuration is unexpected and is logged.
+    #[must_use = "the driver must pass the update to its core"]
+    pub fn receive_frame(&mut self, now: Now, link: LinkId, frame: &Frame) -> Option<ConfigUpdate> {
         match frame {
-            Frame::Announce(stamp) => self.heard(now, link, *stamp),
+            Frame::Announce(stamp) => self.learn_peer_stamp(now, link, *stamp),
             Frame::ConfigRequest => {
                 let actions = self.exchange.answer_request(link).into_iter().collect();
-                self.act(actions)
+                self.apply_actions(actions)
             }
-            Frame::ConfigOffer(offer) => self.offered(now, offer),
+            Frame::ConfigOffer(offer) => self.receive_offer(now, offer),
             Frame::Hello(_)
             | Frame::ToAgent(_)
             | Frame::ToEntry(_)
@@ -155,16 +167,20 @@
         }
     }
 
-    /// Learns what the platform says.
-    #[must_use = "the core has to hear of the document"]
-    pub fn platform(&mut self, now: Now, event: &PlatformEvent) -> Option<Followed> {
+    /// Handles an event from the platform.
+    #[must_use = "the driver must pass the update to its core"]
+    pub fn receive_platform_event(
+        &mut self,
+        now: Now,
+        event: &PlatformEvent,
+    ) -> Option<ConfigUpdate> {
         match event {
             PlatformEvent::Config(published) => {
                 let actions = self.exchange.offer(now, published);
-                self.act(actions)
+                self.apply_actions(actions)
             }
             PlatformEvent::Instances(instances) => {
-                self.listed(now, instances);
+                self.update_instances(now, instances);
                 None
             }
             PlatformEvent::Unreachable { detail } => {
@@ -174,71 +190,75 @@
         }
     }
 
-    /// Tells every peer of the adopted document; to be called when the core has adopted it.
+    /// Announces the adopted document to every peer; to be called when the core has adopted it.
     ///
-    /// The links of the gate are settled only now, so that their peers are told too.
+    /// Links of the start gate are closed only after that, so that their peers receive the
+    /// announcement too.
     pub fn announce(&mut self) {
         if let Some(stamp) = self.unannounced.take() {
             self.parts.links.broadcast(&Frame::Announce(stamp));
-            self.settle_gate();
+            self.close_finished_gate_links();
         }
     }
 
-    fn offered(&mut self, now: Now, offer: &ConfigOffer) -> Option<Followed> {
-        let followed = match offer.document() {
+    fn receive_offer(&mut self, now: Now, offer: &ConfigOffer) -> Option<ConfigUpdate> {
+        let update = match offer.document() {
             Ok(document) => {
                 let actions = self.exchange.peer_offer(now, offer.stamp, &document);
-                self.act(actions)
+                self.apply_actions(actions)
             }
             Err(error) => {
-                log::warn!(target: "link", error:% = error; "unusable offer");
+                log::warn!(target: "link", error:% = error; "cannot decode a document from a peer");
                 None
             }
         };
-        if followed.is_none() {
-            self.settle_gate();
+        if update.is_none() {
+            self.close_finished_gate_links();
         }
-        followed
+        update
     }
 
-    fn listed(&mut self, now: Now, instances: &[Instance]) {
-        self.watches = is_watcher(&self.parts.own, instances);
-        self.choose_follow();
+    fn update_instances(&mut self, now: Now, instances: &[Instance]) {
+        self.is_watcher = is_watcher(&self.parts.own, instances);
+        self.update_follow_mode();
         for Probe { link, address, .. } in self.gate.update_instances(now, instances) {
             self.parts.links.open(link, address);
         }
     }
 
-    /// Chooses how to follow the platform.
+    /// Chooses between watching and polling the platform.
     ///
-    /// A process without a document watches too. It may have started behind a cut, or beside an
-    /// invalid document, and have no link on which a peer could tell it of a change: one would see
-    /// it stay out of service until its next poll, half a minute after all else is well.
-    fn choose_follow(&self) {
-        let watches = self.watches || !self.has_document();
-        let follow = if watches { Follow::Watch } else { Follow::Poll };
-        self.parts.follow.send_if_modified(|mode| std::mem::replace(mode, follow) != follow);
+    /// A process without a document watches even if it is not one of the watchers. It may have
+    /// started during a network partition, or while the published document was invalid, and have
+    /// no link on which a peer could announce a change. With polling, it would stay out of service
+    /// until its next poll, although the fault has ended.
+    fn update_follow_mode(&self) {
+        let should_watch = self.is_watcher || !self.has_document();
+        let chosen = if should_watch { FollowMode::Watch } else { FollowMode::Poll };
+        self.parts.follow_mode.send_if_modified(|mode| std::mem::replace(mode, chosen) != chosen);
     }
 
-    /// Closes the links of the start gate from which nothing newer is to come.
-    fn settle_gate(&mut self) {
+    /// Closes links of the start gate whose peers have answered and owe no newer document.
+    fn close_finished_gate_links(&mut self) {
         for link in self.gate.finish_peers(|link| self.exchange.awaits_document_from(link)) {
             self.parts.links.close(link);
         }
     }
 
-    /// Carries out what the exchange wants; one call of the exchange adopts one document at most,
-    /// or shows one rival.
-    fn act(&mut self, actions: Vec<ExchangeAction>) -> Option<Followed> {
-        let mut followed = None;
+    /// Carries out the actions of one call of the exchange, which contain at most one adopted or
+    /// conflicting document.
+    fn apply_actions(&mut self, actions: Vec<ExchangeAction>) -> Option<ConfigUpdate> {
+        let mut update = None;
         for action in actions {
             match action {
                 ExchangeAction::Adopted { stamp, document } => {
-                    self.choose_follow();
+                    self.update_follow_mode();
                     self.parts.view.update(|status| status.stamp = stamp);
-                    followed = Some(Followed::Adopted { stamp, document });
+                    update = Some(ConfigUpdate::Adopted { stamp, document });
+                }
+                ExchangeAction::Conflict(document) => {
+                    update = Some(ConfigUpdate::Conflict(document));
                 }
-                ExchangeAction::Conflict(document) => followed = Some(Followed::Rival(document)),
                 ExchangeAction::Announce { link, stamp } => {
                     self.parts.links.send(link, Frame::Announce(stamp));
                 }
@@ -255,6 +275,6 @@
         }
         let refused = self.exchange.refused();
         self.parts.view.update(|status| status.refused = refused);
-        followed
+        update
     }
 }
--- a/crates/runtime/src/link/listen.rs
+++ b/crates/runtime/src/link/listen.rs
@@ -1,4 +1,4 @@
-//! Accepts links.
+//! Accepts links from other processes.
 
 use super::connection::ConnectionTask;
 use super::handshake::{Control, HANDSHAKE_TIMEOUT, answer};
@@ -8,28 +8,28 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// An address on which links are accepted until this is dropped.
+/// A bound address on which links are accepted until [`Listener::close`].
 pub struct Listener {
     endpoint: Endpoint,
     shared: Arc<Shared>,
 }
 
 impl Listener {
-    /// The bound address.
+    /// Returns the bound address.
     ///
     /// # Errors
     ///
-    /// When the system no longer knows it.
+    /// If the operating system cannot report the address of the socket.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         self.endpoint.local_addr()
     }
 
-    /// Shows the present keys to links that are accepted from now on.
-    pub fn renew(&self) {
+    /// Uses the current keys of the [`Links`](super::Links) for links accepted from now on.
+    pub fn apply_keys(&self) {
         self.endpoint.set_server_config(Some(server_config(&self.shared)));
     }
 
-    /// Closes every link that was accepted here.
+    /// Stops accepting links and closes every link that was accepted here.
     pub fn close(&self) {
         self.endpoint.close(0_u32.into(), b"closed");
     }
@@ -54,7 +54,7 @@
 }
 
 async fn serve(shared: Arc<Shared>, incoming: Incoming) {
-    let handshake = tokio::time::timeout(HANDSHAKE_TIMEOUT, shake_hands(&shared, incoming));
+    let handshake = tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake_with(&shared, incoming));
     let (connection, control, hello) = match handshake.await {
         Ok(Ok(parts)) => parts,
         Ok(Err(reason)) => {
@@ -63,15 +63,15 @@
         }
         Err(_) => return,
     };
-    let link = shared.number_accepted();
-    let (sender, receiver) = shared.enter(link);
+    let link = shared.next_accepted_link();
+    let (sender, receiver) = shared.insert(link);
     shared.report(LinkEvent::Opened { link, hello });
     let task = ConnectionTask::new(Arc::clone(&shared), link, connection, sender);
     let reason = task.run(control, receiver).await;
-    shared.leave(link, reason);
+    shared.remove(link, reason);
 }
 
-async fn shake_hands(
+async fn handshake_with(
     shared: &Shared,
     incoming: Incoming,
 ) -> Result<(Connection, Control, Hello), String> {
--- a/crates/runtime/src/security/renewal.rs
+++ b/crates/runtime/src/security/renewal.rs
@@ -1,8 +1,8 @@
-//! Takes up renewed key files without a restart.
+//! Loads renewed key files without a restart.
 
 use super::{KeyFiles, LinkKeys, LinkSecurity};
 use crate::clock::SteadyClock;
-use crate::operators::Inspect;
+use crate::operators::StatusSource;
 use crate::trail::Trail;
 use hickorycross_config::Digest;
 use hickorycross_core::audit::{AuditRecord, Change};
@@ -10,28 +10,29 @@
 use std::time::Duration;
 use tokio::task::AbortHandle;
 
-/// Pause between two looks at the files.
-const LOOK_PAUSE: Duration = Duration::from_secs(2);
-/// Between the contents of two files, so that no other split of the bytes gives the same digest.
-const BORDER: &[u8] = b"\0next file\0";
+/// Interval at which the files are checked.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
+/// Hashed after the content of each file, so that the same bytes have another digest if they are
+/// divided differently among the files.
+const FILE_SEPARATOR: &[u8] = b"\0next file\0";
 
-/// Gives new keys to whatever opens and accepts links.
+/// A user of link keys that can replace them while the process runs.
 pub trait UseKeys: Send + 'static {
-    /// Uses these keys for links that begin from now on; links that are up go on.
+    /// Uses these keys for links that are opened from now on; open links are not affected.
     fn use_keys(&self, keys: LinkKeys);
 }
 
-/// What a renewal writes to and reads from.
-pub struct Surroundings {
-    /// Gets the audit record.
+/// The parts of the process that are needed to audit a renewal.
+pub struct RenewalContext {
+    /// Receives the audit records.
     pub trail: Arc<Trail>,
-    /// Knows the document in force.
-    pub inspect: Arc<dyn Inspect>,
-    /// Gives the moment of the record.
+    /// Provides the stamp of the document in force.
+    pub status_source: Arc<dyn StatusSource>,
+    /// Provides the time of the records.
     pub clock: SteadyClock,
 }
 
-/// Looks after key files until it is dropped.
+/// A handle to the task that watches key files; dropping it stops the task.
 #[derive(Debug)]
 pub struct Renewal(Option<AbortHandle>);
 
@@ -43,44 +44,44 @@
     }
 }
 
-/// Looks at the key files every few seconds and uses what has changed.
+/// Spawns a task that checks the key files every few seconds and loads changed ones.
 ///
-/// A certificate that runs out while its renewed file lies ready would cut a process off: one would
-/// see all its links fail at once, at the certificate's last moment. A file that cannot be used
-/// changes nothing: the keys before stay in use and an error is logged, once for each content.
+/// Without it, a process whose certificate files were renewed would still lose all its links when
+/// the certificate loaded at start expires. If the files cannot be used, the current keys stay in
+/// use and an error is logged once for each content. Without mutual TLS, no task is spawned.
 #[must_use]
-pub fn follow(
+pub fn watch(
     security: &LinkSecurity,
     target: Box<dyn UseKeys>,
-    surroundings: Surroundings,
+    context: RenewalContext,
 ) -> Renewal {
     let LinkSecurity::MutualTls(files) = security else {
         return Renewal(None);
     };
-    let follower = Follower { seen: digest(files), files: files.clone(), target, surroundings };
-    Renewal(Some(tokio::spawn(follower.run()).abort_handle()))
+    let watcher = FileWatcher { last_digest: digest(files), files: files.clone(), target, context };
+    Renewal(Some(tokio::spawn(watcher.run()).abort_handle()))
 }
 
-struct Follower {
+struct FileWatcher {
     files: KeyFiles,
-    seen: Option<Digest>,
+    last_digest: Option<Digest>,
     target: Box<dyn UseKeys>,
-    surroundings: Surroundings,
+    context: RenewalContext,
 }
 
-impl Follower {
+impl FileWatcher {
     async fn run(mut self) {
         loop {
-            tokio::time::sleep(LOOK_PAUSE).await;
-            let now = digest(&self.files);
-            if now != self.seen {
-                self.seen = now;
-                self.take_up();
+            tokio::time::sleep(CHECK_INTERVAL).await;
+            let current = digest(&self.files);
+            if current != self.last_digest {
+                self.last_digest = current;
+                self.reload();
             }
         }
     }
 
-    fn take_up(&self) {
+    fn reload(&self) {
         let subject = self.files.certificate_file.display().to_string();
         match LinkKeys::load(&LinkSecurity::MutualTls(self.files.clone())) {
             Ok(keys) => {
@@ -91,24 +92,24 @@
                 target: "security",
                 certificate_file = subject.as_str(),
                 cause = error.to_string().as_str();
-                "renewed keys cannot be used; the ones before stay"
+                "cannot use the renewed keys; the current keys stay in use"
             ),
         }
     }
 
     fn record(&self, subject: String) {
-        let Surroundings { trail, inspect, clock } = &self.surroundings;
+        let RenewalContext { trail, status_source, clock } = &self.context;
         let change = Change::KeyRenewed { subject };
-        trail.write(AuditRecord::new(clock.now().unix_ms, inspect.status().stamp, change));
+        trail.write(AuditRecord::new(clock.now().unix_ms, status_source.status().stamp, change));
     }
 }
 
-/// Digest of all files; none while one cannot be read.
+/// Returns the digest of all files, or none if one of them cannot be read.
 fn digest(files: &KeyFiles) -> Option<Digest> {
     let mut all = Vec::new();
     for path in files.paths() {
         all.extend(std::fs::read(path).ok()?);
-        all.extend_from_slice(BORDER);
+        all.extend_from_slice(FILE_SEPARATOR);
     }
     Some(Digest::of(&all))
 }
--- a/crates/runtime/src/view.rs
+++ b/crates/runtime/src/view.rs
@@ -1,21 +1,22 @@
-//! The state of a process as its operators and its peers see it.
+//! The state of a process that operators and peers can see.
 
 use crate::clock::SteadyClock;
-use crate::link::Greet;
-use crate::operators::{Inspect, Status};
+use crate::link::HelloSource;
+use crate::operators::{Status, StatusSource};
 use hickorycross_core::{Incarnation, InstanceId};
 use hickorycross_protocol::{Hello, PeerRole, SUPPORTED_VERSIONS};
 use std::sync::{Mutex, PoisonError};
 
-/// State shared between the driver, which writes it, and the servers, which show it.
-pub struct View {
+/// The state shared between the driver, which updates it, and the readers of it: the operators'
+/// server (as [`StatusSource`]) and the handshake of links (as [`HelloSource`]).
+pub struct ProcessView {
     clock: SteadyClock,
     role: PeerRole,
     status: Mutex<Status>,
 }
 
-impl View {
-    /// The state of a process that has just started.
+impl ProcessView {
+    /// Creates the state of a process that has just started: without a document and not ready.
     #[must_use]
     pub fn new(
         clock: SteadyClock,
@@ -42,13 +43,13 @@
         Self { clock, role, status: Mutex::new(status) }
     }
 
-    /// Changes the state.
+    /// Changes the state while holding its lock.
     pub fn update(&self, change: impl FnOnce(&mut Status)) {
         change(&mut self.status.lock().unwrap_or_else(PoisonError::into_inner));
     }
 }
 
-impl Inspect for View {
+impl StatusSource for ProcessView {
     fn status(&self) -> Status {
         let mut status = self.status.lock().unwrap_or_else(PoisonError::into_inner).clone();
         status.wall_offset_ms = self.clock.wall_offset_ms();
@@ -56,7 +57,7 @@
     }
 }
 
-impl Greet for View {
+impl HelloSource for ProcessView {
     fn hello(&self) -> Hello {
         let status = self.status.lock().unwrap_or_else(PoisonError::into_inner);
         Hello {
--- a/crates/runtime/tests/logs.rs
+++ b/crates/runtime/tests/logs.rs
@@ -1,15 +1,14 @@
-//! Lines of the log.
+//! Tests of the log layout.
 
 use googletest::prelude::*;
-use hickorycross_runtime::logs::OneLine;
+use hickorycross_runtime::logs::SingleLineLayout;
 use logforth::layout::Layout;
 use logforth::record::{Level, Record};
 
-// Symptom: the log tells of an event that never was.
-// Sequence: a caller sends a path or a header with a line feed in it, which is logged.
-// Cause: values written as they are; a line feed begins a line that looks like the process's own.
+/// Guards against forged log lines: a caller sends a path or a header with a line feed, and the
+/// value is logged without escapes, so that the rest of it looks like a line of the process.
 #[gtest]
-fn no_value_begins_a_line() {
+fn line_breaks_in_values_are_escaped() {
     let values = [
         "plain",
         "a\nlevel=ERROR",
@@ -22,7 +21,7 @@
     for value in values {
         let key_values = [(logforth::kv::Key::new("path"), logforth::kv::Value::str(value))];
         let builder = Record::builder().level(Level::Info).target("request");
-        let line = OneLine::new()
+        let line = SingleLineLayout::new()
             .format(
                 &builder.payload(format_args!("{value}")).key_values(key_values.as_slice()).build(),
                 &[],
