--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -1,14 +1,15 @@
-//! A backend server's answer on its way to the caller.
+//! Sends a backend server's answer to the caller.
 //!
-//! An answer that is cut off must never look whole. Rocket ends a body cleanly even when its
-//! reader fails, so that the end of a chunked body proves nothing. Three forms remain in which a
-//! caller can tell:
-//! - an answer whose length is known keeps its `content-length`: fewer bytes break the connection;
-//! - a stream of server-sent events that is cut off closes with an `error` event, and without the
-//!   end marker of the model API;
-//! - any other answer is gathered until it is whole, and then sent with its length.
-
-use crate::inbox::{Part, Parts};
+//! A caller must be able to detect that an answer was cut off. Rocket ends a chunked body cleanly
+//! even if its reader fails, so the end of a chunked body does not prove that it is complete.
+//! Answers are therefore sent in one of three ways:
+//! - An answer of known length keeps its `content-length`. If it is cut off, the connection closes
+//!   before all bytes have been sent.
+//! - A stream of server-sent events that is cut off ends with an `error` event and lacks the end
+//!   marker of the model API.
+//! - Any other answer is buffered until it is complete, and then sent with its length.
+
+use crate::caller_channel::{AnswerPart, AnswerReceiver};
 use crate::refusal::{self, REQUEST_HEADER};
 use bytes::{Buf, Bytes, BytesMut};
 use hickorycross_core::entry::{Refusal, RefusalCode};
@@ -23,45 +24,50 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, ReadBuf};
 
-/// Longest answer that is gathered.
-const GATHER_LIMIT_BYTES: usize = 32 * 1024 * 1024;
-/// Rocket hands the body on in pieces of at most this size.
-const PIECE_BYTES: usize = 16 * 1024;
+/// Longest answer that is buffered.
+const BUFFERED_ANSWER_LIMIT_BYTES: usize = 32 * 1024 * 1024;
+/// Largest chunk in which Rocket sends a streamed body.
+const BODY_CHUNK_BYTES: usize = 16 * 1024;
 
-/// How an answer's end is made plain to the caller.
+/// How an answer is sent, so that the caller can detect that it was cut off.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Form {
-    Length,
-    Events,
-    Gathered,
+enum Delivery {
+    KnownLength,
+    EventStream,
+    Buffered,
 }
 
-/// Waits for the answer's beginning and makes the response.
-pub(crate) async fn respond(mut parts: Parts, clock: SteadyClock) -> Response<'static> {
-    let request = parts.request();
-    match parts.next().await {
-        Some(Part::Begin(head)) => match form(&head) {
-            Form::Gathered => gather(head, parts, clock).await,
-            form => stream(&head, form, parts),
+/// Waits for the head of the answer, or for a refusal, and builds the response.
+pub(crate) async fn answer_response(
+    mut answer: AnswerReceiver,
+    clock: SteadyClock,
+) -> Response<'static> {
+    let request = answer.request();
+    match answer.next().await {
+        Some(AnswerPart::Head(head)) => match delivery_of(&head) {
+            Delivery::Buffered => buffer_answer(head, answer, clock).await,
+            delivery => stream_answer(&head, delivery, answer),
         },
-        Some(Part::Refuse(refusal)) => refusal::respond(clock.now(), request, &refusal),
-        Some(Part::Chunk(_) | Part::Finish) | None => {
-            refusal::respond(clock.now(), request, &stopped())
+        Some(AnswerPart::Refuse(refusal)) => {
+            refusal::refusal_response(clock.now(), request, &refusal)
+        }
+        Some(AnswerPart::Chunk(_) | AnswerPart::Finish) | None => {
+            refusal::refusal_response(clock.now(), request, &entry_stopped())
         }
     }
 }
 
-fn form(head: &ResponseHead) -> Form {
+fn delivery_of(head: &ResponseHead) -> Delivery {
     let find = |name: &str| head.headers.iter().find(|header| header.name == name);
     if find("content-length").is_some() {
-        return Form::Length;
+        return Delivery::KnownLength;
     }
-    let is_events =
+    let is_event_stream =
         find("content-type").is_some_and(|header| header.value.starts_with(b"text/event-stream"));
-    if is_events { Form::Events } else { Form::Gathered }
+    if is_event_stream { Delivery::EventStream } else { Delivery::Buffered }
 }
 
-fn stopped() -> Refusal {
+fn entry_stopped() -> Refusal {
     Refusal {
         code: RefusalCode::Interrupted,
         verdict: Verdict::MayHaveRun,
@@ -70,7 +76,7 @@
     }
 }
 
-fn response_of(head: &ResponseHead, request: RequestId) -> Response<'static> {
+fn response_with_head(head: &ResponseHead, request: RequestId) -> Response<'static> {
     let mut response = Response::new();
     response.set_status(Status::new(head.status));
     for header in &head.headers {
@@ -81,99 +87,110 @@
     response
 }
 
-fn stream(head: &ResponseHead, form: Form, parts: Parts) -> Response<'static> {
-    let mut response = response_of(head, parts.request());
-    response.set_streamed_body(Body::new(parts, form));
-    response.set_max_chunk_size(PIECE_BYTES);
+fn stream_answer(
+    head: &ResponseHead,
+    delivery: Delivery,
+    answer: AnswerReceiver,
+) -> Response<'static> {
+    let mut response = response_with_head(head, answer.request());
+    response.set_streamed_body(StreamedBody::new(answer, delivery));
+    response.set_max_chunk_size(BODY_CHUNK_BYTES);
     response
 }
 
-async fn gather(head: ResponseHead, mut parts: Parts, clock: SteadyClock) -> Response<'static> {
-    let request = parts.request();
+async fn buffer_answer(
+    head: ResponseHead,
+    mut answer: AnswerReceiver,
+    clock: SteadyClock,
+) -> Response<'static> {
+    let request = answer.request();
     let mut body = BytesMut::new();
     loop {
-        match parts.next().await {
-            Some(Part::Chunk(bytes)) if body.len() + bytes.len() <= GATHER_LIMIT_BYTES => {
+        match answer.next().await {
+            Some(AnswerPart::Chunk(bytes))
+                if body.len() + bytes.len() <= BUFFERED_ANSWER_LIMIT_BYTES =>
+            {
                 body.extend_from_slice(&bytes);
             }
-            Some(Part::Finish) => {
-                let mut response = response_of(&head, request);
+            Some(AnswerPart::Finish) => {
+                let mut response = response_with_head(&head, request);
                 response.set_sized_body(body.len(), Cursor::new(body.freeze()));
                 return response;
             }
-            Some(Part::Refuse(refusal)) => {
-                return refusal::respond(clock.now(), request, &refusal);
+            Some(AnswerPart::Refuse(refusal)) => {
+                return refusal::refusal_response(clock.now(), request, &refusal);
             }
-            Some(Part::Chunk(_) | Part::Begin(_)) => {
-                return refusal::respond(clock.now(), request, &too_long());
+            Some(AnswerPart::Chunk(_) | AnswerPart::Head(_)) => {
+                return refusal::refusal_response(clock.now(), request, &buffer_limit_exceeded());
             }
-            None => return refusal::respond(clock.now(), request, &stopped()),
+            None => return refusal::refusal_response(clock.now(), request, &entry_stopped()),
         }
     }
 }
 
-fn too_long() -> Refusal {
+fn buffer_limit_exceeded() -> Refusal {
     Refusal {
         code: RefusalCode::BadAnswer,
         verdict: Verdict::Ran,
         retry_at: None,
-        detail: format!("an answer without length exceeds {GATHER_LIMIT_BYTES} bytes"),
+        detail: format!("an answer without length exceeds {BUFFERED_ANSWER_LIMIT_BYTES} bytes"),
     }
 }
 
-type NextPart = Pin<Box<dyn Future<Output = (Parts, Option<Part>)> + Send>>;
+type PartFuture = Pin<Box<dyn Future<Output = (AnswerReceiver, Option<AnswerPart>)> + Send>>;
 
-/// The body of a streamed answer.
-struct Body {
-    next: Option<NextPart>,
+/// The body of a streamed answer, read by Rocket as parts arrive from the driver.
+struct StreamedBody {
+    next: Option<PartFuture>,
     ready: Bytes,
-    form: Form,
+    delivery: Delivery,
     request: RequestId,
 }
 
-impl Body {
-    fn new(parts: Parts, form: Form) -> Self {
-        let request = parts.request();
-        Self { next: Some(wait(parts)), ready: Bytes::new(), form, request }
+impl StreamedBody {
+    fn new(answer: AnswerReceiver, delivery: Delivery) -> Self {
+        let request = answer.request();
+        Self { next: Some(receive_part(answer)), ready: Bytes::new(), delivery, request }
     }
 
-    /// Takes one part in; an error ends the body short of its length.
-    fn take(&mut self, parts: Parts, part: Option<Part>) -> IoResult<()> {
+    /// Processes the next part. An error ends the body before its announced length.
+    fn handle_part(&mut self, answer: AnswerReceiver, part: Option<AnswerPart>) -> IoResult<()> {
         match part {
-            Some(Part::Chunk(bytes)) => {
+            Some(AnswerPart::Chunk(bytes)) => {
                 self.ready = bytes;
-                self.next = Some(wait(parts));
+                self.next = Some(receive_part(answer));
             }
-            Some(Part::Begin(_)) => self.next = Some(wait(parts)),
-            Some(Part::Finish) => {}
-            Some(Part::Refuse(refusal)) => return self.cut(&refusal),
-            None => return self.cut(&stopped()),
+            Some(AnswerPart::Head(_)) => self.next = Some(receive_part(answer)),
+            Some(AnswerPart::Finish) => {}
+            Some(AnswerPart::Refuse(refusal)) => return self.cut_off(&refusal),
+            None => return self.cut_off(&entry_stopped()),
         }
         Ok(())
     }
 
-    fn cut(&mut self, refusal: &Refusal) -> IoResult<()> {
-        match self.form {
-            Form::Events => {
-                let error = refusal::json(self.request, refusal);
+    /// Ends the body of an answer that was cut off, with an `error` event or an I/O error.
+    fn cut_off(&mut self, refusal: &Refusal) -> IoResult<()> {
+        match self.delivery {
+            Delivery::EventStream => {
+                let error = refusal::error_json(self.request, refusal);
                 self.ready = Bytes::from(format!("\n\nevent: error\ndata: {error}\n\n"));
                 Ok(())
             }
-            Form::Length | Form::Gathered => {
+            Delivery::KnownLength | Delivery::Buffered => {
                 Err(Error::new(ErrorKind::UnexpectedEof, "the answer was cut off"))
             }
         }
     }
 }
 
-fn wait(mut parts: Parts) -> NextPart {
+fn receive_part(mut answer: AnswerReceiver) -> PartFuture {
     Box::pin(async move {
-        let part = parts.next().await;
-        (parts, part)
+        let part = answer.next().await;
+        (answer, part)
     })
 }
 
-impl AsyncRead for Body {
+impl AsyncRead for StreamedBody {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -183,11 +200,11 @@
             let Some(next) = self.next.as_mut() else {
                 return Poll::Ready(Ok(()));
             };
-            let Poll::Ready((parts, part)) = next.as_mut().poll(context) else {
+            let Poll::Ready((answer, part)) = next.as_mut().poll(context) else {
                 return Poll::Pending;
             };
             self.next = None;
-            self.take(parts, part)?;
+            self.handle_part(answer, part)?;
         }
         let count = self.ready.len().min(buffer.remaining());
         buffer.put_slice(&self.ready[..count]);
--- a/crates/entry/src/callers/body.rs
+++ b/crates/entry/src/callers/body.rs
@@ -1,6 +1,6 @@
-//! A request's body, bounded in size and time.
+//! Reads request bodies within limits on size and time.
 
-use crate::refusal::Rejected;
+use crate::refusal::Rejection;
 use bytes::Bytes;
 use hickorycross_core::entry::RefusalCode;
 use rocket::data::ByteUnit;
@@ -10,28 +10,28 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Rocket looks for a method in so many bytes of a form.
+/// Number of bytes at the start of a form in which Rocket looks for a `_method` field.
 const METHOD_FIELD_BYTES: usize = "_method=delete".len();
 
-/// Bounds on a body.
+/// Reads bodies within a size limit and a timeout.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct BodyRules {
+pub(super) struct BodyReader {
     limit: ByteUnit,
-    /// A span as the settings give it; each read turns it into a deadline.
+    /// Time within which a whole body has to arrive.
     timeout_ms: u64,
 }
 
-impl BodyRules {
+impl BodyReader {
     pub(super) fn new(limit_bytes: u64, timeout_ms: u64) -> Self {
         Self { limit: ByteUnit::Byte(limit_bytes), timeout_ms }
     }
 
-    /// Reads a body whole. One whose announced length is too large is refused unread.
+    /// Reads a whole body. If its `content-length` exceeds the limit, rejects it without reading.
     pub(super) async fn read(
         &self,
         request: &Request<'_>,
         data: Data<'_>,
-    ) -> Result<Bytes, Rejected> {
+    ) -> Result<Bytes, Rejection> {
         let announced = request.headers().get_one("content-length");
         let announced = announced.and_then(|text| text.parse::<u64>().ok());
         if announced.is_some_and(|bytes| bytes > self.limit.as_u64()) {
@@ -39,17 +39,18 @@
         }
         let reading = data.open(self.limit).into_bytes();
         let deadline = Instant::now() + Duration::from_millis(self.timeout_ms);
-        let read = tokio::time::timeout_at(deadline, reading).await.map_err(|_| self.too_slow())?;
+        let read =
+            tokio::time::timeout_at(deadline, reading).await.map_err(|_| self.timed_out())?;
         let body =
-            read.map_err(|error| Rejected::bad_request(format!("the body broke off: {error}")))?;
+            read.map_err(|error| Rejection::bad_request(format!("the body broke off: {error}")))?;
         if !body.is_complete() {
             return Err(self.too_large());
         }
         Ok(Bytes::from(body.into_inner()))
     }
 
-    fn too_slow(&self) -> Rejected {
-        Rejected {
+    fn timed_out(&self) -> Rejection {
+        Rejection {
             status: Status::RequestTimeout,
             code: RefusalCode::DeadlinePassed,
             detail: format!("the body took longer than {} ms", self.timeout_ms),
@@ -57,8 +58,8 @@
         }
     }
 
-    fn too_large(&self) -> Rejected {
-        Rejected {
+    fn too_large(&self) -> Rejection {
+        Rejection {
             status: Status::PayloadTooLarge,
             code: RefusalCode::BadRequest,
             detail: format!("the body exceeds {} bytes", self.limit.as_u64()),
@@ -67,20 +68,21 @@
     }
 }
 
-/// The method as the caller sent it.
+/// Returns the method that the caller sent.
 ///
-/// Rocket takes the value of a posted form's first field for the method when its name is
-/// `_method`. A backend server that expects such a form would get a DELETE in place of a POST; this
-/// repeats Rocket's reading and undoes it. Rocket only ever rewrites POST.
+/// If the first field of a posted form is named `_method`, Rocket replaces the request's method
+/// with the field's value, so that a backend server would receive, for example, a DELETE instead of
+/// a POST. This function parses the field as Rocket does and reverts the change. Rocket rewrites no
+/// method other than POST.
 pub(super) fn sent_method(request: &Request<'_>, body: &[u8]) -> Method {
     if !request.content_type().is_some_and(|kind| kind.is_form()) {
         return request.method();
     }
     let first_bytes = &body[..body.len().min(METHOD_FIELD_BYTES)];
-    let in_form = std::str::from_utf8(first_bytes)
+    let form_method = std::str::from_utf8(first_bytes)
         .ok()
         .and_then(|form| Form::values(form).next())
         .filter(|field| field.name == "_method")
         .and_then(|field| field.value.parse::<Method>().ok());
-    if in_form == Some(request.method()) { Method::Post } else { request.method() }
+    if form_method == Some(request.method()) { Method::Post } else { request.method() }
 }
--- a/crates/entry/src/callers/mod.rs
+++ b/crates/entry/src/callers/mod.rs
@@ -1,4 +1,5 @@
-//! Callers' requests, as Rocket hands them over.
+//! The HTTP side: receives callers' requests from Rocket, checks them, and submits them to the
+//! driver.
 
 mod body;
 mod catcher;
@@ -8,11 +9,11 @@
 pub(crate) use catcher::catchers;
 
 use crate::answer;
-use crate::catalog::{Caller, Catalog, Known};
-use crate::inbox::{Inbound, Parts};
-use crate::refusal::{self, Rejected};
+use crate::caller_channel::{AnswerReceiver, CallerEvent};
+use crate::catalog::{Caller, Catalog, KeyLookup};
+use crate::refusal::{self, Rejection};
 use crate::request_log::RequestLog;
-use body::BodyRules;
+use body::BodyReader;
 use head::Head;
 use hickorycross_config::{KeyHash, hash_api_key};
 use hickorycross_core::entry::{Arrival, RefusalCode};
@@ -30,8 +31,8 @@
 
 /// Where the model list is served.
 const MODELS_PATH: &str = "/v1/models";
-/// When a caller should come back who met an entry that is full or not ready.
-const COME_BACK_MS: u64 = 1_000;
+/// Time after which a caller may retry if the entry is overloaded or not ready.
+const RETRY_AFTER_MS: u64 = 1_000;
 /// Methods that are served.
 const METHODS: [Method; 7] = [
     Method::Get,
@@ -43,146 +44,146 @@
     Method::Options,
 ];
 
-/// Bounds on what callers may do.
+/// Limits on callers' requests, from the settings.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Bounds {
+pub(crate) struct CallerLimits {
     pub(crate) body_limit_bytes: u64,
     pub(crate) body_timeout_ms: u64,
     pub(crate) open_requests: u32,
 }
 
-/// Takes every request of callers.
+/// Rocket handler for all requests of callers.
 #[derive(Clone)]
-pub(crate) struct Callers {
+pub(crate) struct CallerHandler {
     shared: Arc<Shared>,
 }
 
 struct Shared {
     incarnation: Incarnation,
-    next: AtomicU64,
-    driver: UnboundedSender<Inbound>,
+    next_sequence: AtomicU64,
+    driver: UnboundedSender<CallerEvent>,
     clock: SteadyClock,
-    body: BodyRules,
-    open: Arc<Semaphore>,
-    open_requests: u32,
+    body_reader: BodyReader,
+    open_permits: Arc<Semaphore>,
+    max_open_requests: u32,
     catalog: Arc<Catalog>,
 }
 
-impl Callers {
+impl CallerHandler {
     pub(crate) fn new(
         incarnation: Incarnation,
-        driver: UnboundedSender<Inbound>,
+        driver: UnboundedSender<CallerEvent>,
         clock: SteadyClock,
-        bounds: Bounds,
+        limits: CallerLimits,
         catalog: Arc<Catalog>,
     ) -> Self {
         let shared = Shared {
             incarnation,
-            next: AtomicU64::new(1),
+            next_sequence: AtomicU64::new(1),
             driver,
             clock,
-            body: BodyRules::new(bounds.body_limit_bytes, bounds.body_timeout_ms),
-            open: Arc::new(Semaphore::new(bounds.open_requests as usize)),
-            open_requests: bounds.open_requests,
+            body_reader: BodyReader::new(limits.body_limit_bytes, limits.body_timeout_ms),
+            open_permits: Arc::new(Semaphore::new(limits.open_requests as usize)),
+            max_open_requests: limits.open_requests,
             catalog,
         };
         Self { shared: Arc::new(shared) }
     }
 
-    /// Waits until no request is open and every answer has been handed to the connections.
+    /// Waits until no request is open and all answers have been passed to their connections.
     pub(crate) async fn wait_until_idle(&self) {
-        let _ = self.shared.open.acquire_many(self.shared.open_requests).await;
+        let _ = self.shared.open_permits.acquire_many(self.shared.max_open_requests).await;
     }
 
-    /// The routes that catch everything.
+    /// Returns routes that match every path, one for each method.
     pub(crate) fn routes(&self) -> Vec<Route> {
         METHODS.iter().map(|method| Route::new(*method, "/<path..>", self.clone())).collect()
     }
 
     fn next_id(&self) -> RequestId {
-        let sequence = self.shared.next.fetch_add(1, Ordering::Relaxed);
+        let sequence = self.shared.next_sequence.fetch_add(1, Ordering::Relaxed);
         RequestId { entry: self.shared.incarnation, sequence }
     }
 
-    async fn serve(&self, request: &Request<'_>, data: Data<'_>) -> Response<'static> {
+    async fn respond(&self, request: &Request<'_>, data: Data<'_>) -> Response<'static> {
         let id = self.next_id();
-        let mut log = RequestLog::begin(id, request);
-        match self.try_serve(id, request, data, &mut log).await {
-            Ok(Served::Models(list)) => {
-                log.answered(Status::Ok.code);
+        let mut log = RequestLog::start(id, request);
+        match self.admit(id, request, data, &mut log).await {
+            Ok(Admitted::Models(list)) => {
+                log.log_local_answer(Status::Ok.code);
                 models_response(id, list)
             }
-            Ok(Served::Request(arrival, permit)) => self.answer(id, *arrival, permit, log).await,
-            Err(rejected) => {
-                log.rejected(&rejected);
-                refusal::reject(self.shared.clock.now(), id, &rejected)
+            Ok(Admitted::Request(arrival, permit)) => self.submit(id, *arrival, permit, log).await,
+            Err(rejection) => {
+                log.log_rejection(&rejection);
+                refusal::rejection_response(self.shared.clock.now(), id, &rejection)
             }
         }
     }
 
-    /// Everything that can be judged without the core, the cheapest first: nothing is read of the
-    /// body of a caller without a valid key.
-    async fn try_serve(
+    /// Makes all checks that don't need the core, in order of cost. The body is not read before the
+    /// API key has been checked.
+    async fn admit(
         &self,
         id: RequestId,
         request: &Request<'_>,
         data: Data<'_>,
         log: &mut RequestLog,
-    ) -> Result<Served, Rejected> {
-        let permit = self.permit()?;
+    ) -> Result<Admitted, Rejection> {
+        let permit = self.acquire_permit()?;
         let hash = hash_api_key(head::api_key(request)?);
-        let caller = self.caller(&hash)?;
-        log.identify(&caller);
+        let caller = self.identify_caller(&hash)?;
+        log.set_caller(&caller);
         if is_model_list(request) {
-            return Ok(Served::Models(self.models(&hash)));
+            return Ok(Admitted::Models(self.models_json(&hash)));
         }
         let head = Head::parse(request)?;
-        let body = self.shared.body.read(request, data).await?;
+        let body = self.shared.body_reader.read(request, data).await?;
         let arrival = Arrival {
             request: id,
             key_hash: hash,
-            target: head::wanted(&head.path, &body)?,
+            target: head::request_target(&head.path, &body)?,
             non_idempotent: head.non_idempotent,
             idempotency_key: head.idempotency_key,
             deadline: head.deadline,
             head: RequestHead {
                 method: body::sent_method(request, &body).as_str().to_owned(),
                 path: head.path,
-                headers: head.passed_on,
+                headers: head.forwarded_headers,
             },
             body,
         };
-        Ok(Served::Request(Box::new(arrival), permit))
+        Ok(Admitted::Request(Box::new(arrival), permit))
     }
 
-    fn permit(&self) -> Result<OwnedSemaphorePermit, Rejected> {
-        Arc::clone(&self.shared.open).try_acquire_owned().map_err(|_| {
+    fn acquire_permit(&self) -> Result<OwnedSemaphorePermit, Rejection> {
+        Arc::clone(&self.shared.open_permits).try_acquire_owned().map_err(|_| {
             let detail = "too many open requests at this entry".to_owned();
-            self.come_back(RefusalCode::Overloaded, detail)
+            self.unavailable(RefusalCode::Overloaded, detail)
         })
     }
 
-    fn caller(&self, hash: &KeyHash) -> Result<Caller, Rejected> {
-        match self.shared.catalog.caller(hash) {
-            Known::Caller(caller) => Ok(caller),
-            Known::Nobody => Err(Rejected::unknown_key("the API key is unknown")),
-            Known::NothingYet => {
+    fn identify_caller(&self, hash: &KeyHash) -> Result<Caller, Rejection> {
+        match self.shared.catalog.look_up(hash) {
+            KeyLookup::Caller(caller) => Ok(caller),
+            KeyLookup::UnknownKey => Err(Rejection::unknown_key("the API key is unknown")),
+            KeyLookup::NoDocument => {
                 let detail = "no configuration has been adopted yet".to_owned();
-                Err(self.come_back(RefusalCode::NotReady, detail))
+                Err(self.unavailable(RefusalCode::NotReady, detail))
             }
         }
     }
 
-    fn come_back(&self, code: RefusalCode, detail: String) -> Rejected {
-        let retry_at = Some(self.shared.clock.now().after(COME_BACK_MS));
-        Rejected { status: Status::ServiceUnavailable, code, detail, retry_at }
+    fn unavailable(&self, code: RefusalCode, detail: String) -> Rejection {
+        let retry_at = Some(self.shared.clock.now().after(RETRY_AFTER_MS));
+        Rejection { status: Status::ServiceUnavailable, code, detail, retry_at }
     }
 
-    fn models(&self, hash: &KeyHash) -> String {
-        self.shared.catalog.list(hash).unwrap_or_default()
+    fn models_json(&self, hash: &KeyHash) -> String {
+        self.shared.catalog.models_json(hash).unwrap_or_default()
     }
 
-    async fn answer(
+    async fn submit(
         &self,
         id: RequestId,
         arrival: Arrival,
@@ -190,23 +191,25 @@
         log: RequestLog,
     ) -> Response<'static> {
         let (sender, receiver) = unbounded_channel();
-        let inbound = Inbound::Arrived { arrival: Box::new(arrival), parts: sender };
-        let _ = self.shared.driver.send(inbound);
-        let parts = Parts::new(id, receiver, self.shared.driver.clone(), permit, log);
-        answer::respond(parts, self.shared.clock).await
+        let event = CallerEvent::Arrived { arrival: Box::new(arrival), parts: sender };
+        let _ = self.shared.driver.send(event);
+        let parts = AnswerReceiver::new(id, receiver, self.shared.driver.clone(), permit, log);
+        answer::answer_response(parts, self.shared.clock).await
     }
 }
 
-/// What a request comes to.
-enum Served {
+/// A request that passed all checks.
+enum Admitted {
+    /// A request for the model list, with the answer in JSON.
     Models(String),
+    /// A request for the core, with its permit to be open.
     Request(Box<Arrival>, OwnedSemaphorePermit),
 }
 
 #[async_trait]
-impl Handler for Callers {
+impl Handler for CallerHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
-        Outcome::Success(self.serve(request, data).await)
+        Outcome::Success(self.respond(request, data).await)
     }
 }
 
--- a/crates/entry/src/callers/path.rs
+++ b/crates/entry/src/callers/path.rs
@@ -1,12 +1,11 @@
-//! Paths that mean one thing only.
+//! Rejects paths that are not normalized.
 //!
-//! Routes match a path as it is written, and one prefix may be non-idempotent where a shorter one
-//! is not. A backend server, or the HTTP library on the way to it, may read `/cases/x/../lodge`,
-//! `/cases//lodge` or `/cases/%6Codge` as `/cases/lodge`. Such a request would be routed as
-//! idempotent and run twice; one would notice two lodged applications. Paths that can be written in
-//! a plainer way are therefore refused.
+//! Routes match a path as it is written, and a prefix may be non-idempotent although a shorter one
+//! is idempotent. A backend server, or the HTTP library on the way to it, may normalize
+//! `/cases/x/../lodge`, `/cases//lodge` or `/cases/%6Codge` to `/cases/lodge`. Such a request would
+//! be routed as idempotent, could be retried, and could then lodge an application twice.
 
-/// Checks a path without its query.
+/// Checks that a path is normalized. Takes the path without its query.
 pub(super) fn check_path(path: &str) -> Result<(), String> {
     if path.contains('\\') {
         return Err("the path has a backslash".to_owned());
@@ -22,7 +21,7 @@
     Ok(())
 }
 
-/// Decodes what is percent-encoded; an encoded character that needs no encoding is refused.
+/// Decodes percent-encoding. Fails if a character is encoded that needs no encoding.
 fn decode(path: &str) -> Result<String, String> {
     let mut decoded = String::with_capacity(path.len());
     let mut rest = path;
--- a/crates/entry/src/catalog.rs
+++ b/crates/entry/src/catalog.rs
@@ -1,27 +1,30 @@
-//! What the HTTP side knows of the document: who calls, and the model list.
+//! The parts of the active document that the HTTP side needs: API keys and the model list.
+//!
+//! The driver calls [`Catalog::adopt`] for each adopted document; HTTP handlers look up keys
+//! concurrently.
 
 use hickorycross_config::{Document, KeyHash, TeamId, TierId};
 use indexmap::IndexMap;
 use serde::Serialize;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Whose request it is.
+/// The team that an API key belongs to, and the team's tier.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Caller {
     pub(crate) team: TeamId,
     pub(crate) tier: TierId,
 }
 
-/// What the document says of an API key.
+/// The result of looking up an API key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Known {
+pub(crate) enum KeyLookup {
     Caller(Caller),
-    Nobody,
-    /// No document has been adopted yet.
-    NothingYet,
+    UnknownKey,
+    /// No document has been adopted yet, so that no key can be checked.
+    NoDocument,
 }
 
-/// The document in force, as far as the HTTP side needs it.
+/// The active document with an index of its API keys; empty until a document is adopted.
 #[derive(Debug, Default)]
 pub(crate) struct Catalog(Mutex<Option<Arc<Adopted>>>);
 
@@ -32,7 +35,7 @@
 }
 
 #[derive(Serialize)]
-struct List<'a> {
+struct ModelList<'a> {
     object: &'static str,
     data: Vec<Model<'a>>,
 }
@@ -45,9 +48,9 @@
 }
 
 impl Catalog {
-    /// Follows another document.
+    /// Replaces the active document.
     pub(crate) fn adopt(&self, document: Arc<Document>) {
-        let callers = callers(&document);
+        let callers = callers_by_key(&document);
         let adopted = Arc::new(Adopted { document, callers });
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = Some(adopted);
     }
@@ -56,16 +59,18 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Whose key it is.
-    pub(crate) fn caller(&self, key: &KeyHash) -> Known {
+    /// Looks up the caller to whom an API key belongs.
+    pub(crate) fn look_up(&self, key: &KeyHash) -> KeyLookup {
         let Some(adopted) = self.adopted() else {
-            return Known::NothingYet;
+            return KeyLookup::NoDocument;
         };
-        adopted.callers.get(key).cloned().map_or(Known::Nobody, Known::Caller)
+        adopted.callers.get(key).cloned().map_or(KeyLookup::UnknownKey, KeyLookup::Caller)
     }
 
-    /// The list in the model API's form; none when no team has the key.
-    pub(crate) fn list(&self, key: &KeyHash) -> Option<String> {
+    /// Returns the models of all routes as JSON, in the format of the model API's `/v1/models`.
+    ///
+    /// Returns `None` if no document has been adopted or no team has the key.
+    pub(crate) fn models_json(&self, key: &KeyHash) -> Option<String> {
         let adopted = self.adopted()?;
         adopted.callers.get(key)?;
         let document = &adopted.document;
@@ -75,11 +80,11 @@
             .flat_map(|route| document.models_of(&route.target))
             .map(|id| Model { id, object: "model", owned_by: "hickorycross" })
             .collect();
-        serde_json::to_string(&List { object: "list", data }).ok()
+        serde_json::to_string(&ModelList { object: "list", data }).ok()
     }
 }
 
-fn callers(document: &Document) -> IndexMap<KeyHash, Caller> {
+fn callers_by_key(document: &Document) -> IndexMap<KeyHash, Caller> {
     let teams = document.teams.iter();
     let keys = teams.flat_map(|team| team.key_hashes.iter().map(move |hash| (*hash, team)));
     keys.map(|(hash, team)| (hash, Caller { team: team.id.clone(), tier: team.tier.clone() }))
--- a/crates/entry/src/cli/documents.rs
+++ b/crates/entry/src/cli/documents.rs
@@ -1,4 +1,4 @@
-//! `check`, `diff` and `schema`.
+//! The commands `check`, `diff` and `schema`, for settings files and documents.
 
 use crate::settings::Settings;
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use std::path::{Path, PathBuf};
 
-/// The command that checks a file.
+/// Returns the definition of `check`.
 pub(super) fn check_command() -> Command {
     let mut settings = command::settings_arguments::<Settings>();
     for argument in &mut settings {
@@ -28,7 +28,7 @@
         .group(clap::ArgGroup::new("file").args(["settings", "document"]).required(true))
 }
 
-/// The command that compares two documents.
+/// Returns the definition of `diff`.
 pub(super) fn diff_command() -> Command {
     let file = |name: &'static str, about: &'static str| {
         Arg::new(name)
@@ -44,7 +44,7 @@
         .arg(Arg::new("json").long("json").action(ArgAction::SetTrue).help("Print JSON"))
 }
 
-/// The command that prints the schema.
+/// Returns the definition of `schema`.
 pub(super) fn schema_command() -> Command {
     Command::new("schema").about("Print the JSON schema of the document")
 }
@@ -52,7 +52,7 @@
 /// Checks a settings file or a document.
 pub(super) fn check(matches: &ArgMatches) -> Result<(), Failure> {
     if let Some(path) = matches.get_one::<PathBuf>("document") {
-        let document = load(path)?;
+        let document = load_document(path)?;
         println!("the document can be used: {}", document.title);
         return Ok(());
     }
@@ -67,9 +67,9 @@
     warnings: Vec<hickorycross_config::Warning>,
 }
 
-/// Compares two documents.
+/// Prints the changes from one document to another, with warnings.
 pub(super) fn diff(matches: &ArgMatches) -> Result<(), Failure> {
-    let (old, new) = (named(matches, "old")?, named(matches, "new")?);
+    let (old, new) = (document_argument(matches, "old")?, document_argument(matches, "new")?);
     let difference = Difference {
         changes: hickorycross_config::diff(&old, &new),
         warnings: warnings(&old, &new),
@@ -86,19 +86,19 @@
     Ok(())
 }
 
-/// Prints the schema.
+/// Prints the JSON schema of documents.
 pub(super) fn schema() {
     println!("{:#}", hickorycross_config::schema());
 }
 
-fn named(matches: &ArgMatches, name: &str) -> Result<Document, Failure> {
+fn document_argument(matches: &ArgMatches, name: &str) -> Result<Document, Failure> {
     let path: &PathBuf = matches
         .get_one(name)
         .ok_or_else(|| Failure::Unusable(miette::miette!("name two documents")))?;
-    load(path)
+    load_document(path)
 }
 
-fn load(path: &Path) -> Result<Document, Failure> {
+fn load_document(path: &Path) -> Result<Document, Failure> {
     let bytes = std::fs::read(path).map_err(|error| {
         Failure::Unusable(miette::miette!("cannot read the document {}: {error}", path.display()))
     })?;
--- a/crates/entry/src/cli/keys.rs
+++ b/crates/entry/src/cli/keys.rs
@@ -1,4 +1,4 @@
-//! `keys`: certificates for links, and hashes of API keys.
+//! The command `keys`: creates keys and certificates for links, and hashes API keys.
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 use hickorycross_config::hash_api_key;
@@ -9,7 +9,7 @@
 use miette::IntoDiagnostic;
 use std::path::PathBuf;
 
-/// The command.
+/// Returns the definition of `keys`.
 pub(super) fn command() -> Command {
     Command::new("keys")
         .about("Make keys for links, or the hash of an API key")
@@ -50,13 +50,13 @@
 /// Runs the command.
 pub(super) fn run(matches: &ArgMatches) -> Result<(), Failure> {
     match matches.subcommand() {
-        Some(("make", matches)) => make(matches),
+        Some(("make", matches)) => make_keys(matches),
         Some(("hash-key", _)) => print_hash(),
         _ => Ok(()),
     }
 }
 
-fn make(matches: &ArgMatches) -> Result<(), Failure> {
+fn make_keys(matches: &ArgMatches) -> Result<(), Failure> {
     let unusable = |error: miette::Report| Failure::Unusable(error);
     let directory: &PathBuf = matches
         .get_one("directory")
@@ -76,8 +76,10 @@
     Ok(())
 }
 
-/// The key comes on standard input, because arguments stand in the shell's history and in the
-/// system's list of processes.
+/// Prints the hash of an API key.
+///
+/// The key is read from standard input, because arguments are visible in the shell's history and in
+/// the list of processes.
 fn print_hash() -> Result<(), Failure> {
     let mut line = String::new();
     std::io::stdin().read_line(&mut line).into_diagnostic().map_err(Failure::Failed)?;
--- a/crates/entry/src/cli/mod.rs
+++ b/crates/entry/src/cli/mod.rs
@@ -16,7 +16,7 @@
 use std::ffi::OsString;
 use std::process::ExitCode;
 
-/// What a newcomer does first.
+/// Examples of commands, shown at the end of the help text.
 const FIRST_STEPS: &str = "An entry takes callers' requests. First steps:
   hickorycross-entry demo                              a whole fleet in this process
   hickorycross-entry check --document fleet.json       check a document
@@ -25,7 +25,7 @@
   hickorycross-entry run --settings entry.json         run an entry
   hickorycross-entry status http://127.0.0.1:7401      see how it fares";
 
-/// The entry's commands and flags.
+/// Returns the definition of the commands and flags.
 #[must_use]
 pub fn command_line() -> Command {
     Command::new("hickorycross-entry")
@@ -51,7 +51,7 @@
         .subcommand(command::completions_command())
 }
 
-/// Runs a command line and gives the exit code.
+/// Parses and runs a command line, and returns the exit code.
 pub fn run(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     let matches = match command_line().try_get_matches_from(arguments) {
         Ok(matches) => matches,
--- a/crates/entry/src/console/draft.rs
+++ b/crates/entry/src/console/draft.rs
@@ -6,7 +6,7 @@
 use super::fields::{Field, KEY_HASHES, Kind};
 use super::place::Place;
 use super::posted::Fields;
-use crate::observed::InForce;
+use crate::console_state::ActiveDocument;
 use hickorycross_config::{Digest, Document, Fault, SCHEMA_VERSION, Stamp, hash_api_key, parse};
 use serde_json::{Map, Value, json};
 
@@ -26,7 +26,7 @@
 
 impl Draft {
     /// A draft with nothing in it, to replace what is in force.
-    pub(super) fn empty(in_force: Option<&InForce>) -> Self {
+    pub(super) fn empty(in_force: Option<&ActiveDocument>) -> Self {
         let document = json!({
             "schema_version": SCHEMA_VERSION,
             "failure_domains": [], "tiers": [], "teams": [], "backend_servers": [],
@@ -36,14 +36,14 @@
     }
 
     /// A draft that equals what is in force.
-    pub(super) fn of(in_force: Option<&InForce>) -> Self {
+    pub(super) fn of(in_force: Option<&ActiveDocument>) -> Self {
         let base = in_force.map_or(Stamp::NONE, |one| one.stamp);
         let document = in_force.map_or(Value::Null, |one| json_of(&one.document));
         Self { base, base_document: document.clone(), document }
     }
 
     /// A draft from a text that an operator pasted; none when it is no JSON object.
-    pub(super) fn pasted(in_force: Option<&InForce>, text: &str) -> Option<Self> {
+    pub(super) fn pasted(in_force: Option<&ActiveDocument>, text: &str) -> Option<Self> {
         let document: Value = serde_json::from_str(text).ok()?;
         document.is_object().then(|| Self { document, ..Self::of(in_force) })
     }
--- a/crates/entry/src/console/mod.rs
+++ b/crates/entry/src/console/mod.rs
@@ -17,7 +17,7 @@
 mod sign_in;
 mod throttle;
 
-use crate::observed::Observed;
+use crate::console_state::ConsoleState;
 use hickorycross_core::audit::{AuditRecord, Change};
 use hickorycross_runtime::clock::SteadyClock;
 use hickorycross_runtime::operators::Inspect;
@@ -37,7 +37,7 @@
     clock: SteadyClock,
     view: Arc<View>,
     trail: Arc<Trail>,
-    observed: Arc<Observed>,
+    observed: Arc<ConsoleState>,
     tokens: Tokens,
     throttle: Throttle,
     /// Hashing a password takes a core and 19 MiB: one at a time.
@@ -50,7 +50,7 @@
         clock: SteadyClock,
         view: Arc<View>,
         trail: Arc<Trail>,
-        observed: Arc<Observed>,
+        observed: Arc<ConsoleState>,
     ) -> Self {
         if operators.is_empty() {
             log::info!(target: "console", forms = "off", reason = "no operators in the settings"; "console");
--- a/crates/entry/src/console/pages/begin.rs
+++ b/crates/entry/src/console/pages/begin.rs
@@ -1,7 +1,7 @@
 //! Signing in, and where a draft begins.
 
 use super::layout::{Chrome, Page, Shown};
-use crate::observed::InForce;
+use crate::console_state::ActiveDocument;
 use maud::html;
 
 /// The form for name and password.
@@ -25,7 +25,11 @@
 }
 
 /// The choice of what a draft begins from.
-pub(crate) fn begin(chrome: &Chrome, in_force: Option<&InForce>, fault: Option<&str>) -> Page {
+pub(crate) fn begin(
+    chrome: &Chrome,
+    in_force: Option<&ActiveDocument>,
+    fault: Option<&str>,
+) -> Page {
     let body = html! {
         p { "A draft lives in this browser's page until you publish it. Nothing is stored here." }
         @if let Some(fault) = fault { p.fault role="alert" { (fault) } }
--- a/crates/entry/src/console/pages/fleet.rs
+++ b/crates/entry/src/console/pages/fleet.rs
@@ -4,7 +4,7 @@
 use super::plot;
 use super::rollout::Spread;
 use crate::console::Console;
-use crate::observed::Shown as ShownCore;
+use crate::console_state::TimedSnapshot;
 use hickorycross_config::{Document, FailureDomainId};
 use hickorycross_core::audit::Change;
 use hickorycross_core::entry::{BackendView, EntrySnapshot, LinkUsage, StandingView};
@@ -22,8 +22,8 @@
 pub(crate) fn fleet(chrome: &Chrome, console: &Console) -> Page {
     let status = console.view.status();
     let fleet = console.observed.fleet().snapshot();
-    let shown = console.observed.shown();
-    let in_force = console.observed.in_force();
+    let shown = console.observed.latest_snapshot();
+    let in_force = console.observed.active_document();
     let trail = console.trail.since(0);
     let now = chrome.at();
     let spread = Spread::of(&fleet, status.stamp, &status.instance.0, now);
@@ -117,7 +117,7 @@
     }
 }
 
-fn load(shown: Option<&ShownCore>, document: Option<&Document>, now: UnixMs) -> Markup {
+fn load(shown: Option<&TimedSnapshot>, document: Option<&Document>, now: UnixMs) -> Markup {
     let Some(shown) = shown else { return html! { p { "No report yet." } } };
     let snapshot = &shown.snapshot;
     html! {
--- a/crates/entry/src/console/pages/review.rs
+++ b/crates/entry/src/console/pages/review.rs
@@ -4,14 +4,14 @@
 use super::layout::{Chrome, Page, Shown};
 use crate::console::draft::Draft;
 use crate::console::place::Go;
-use crate::observed::InForce;
+use crate::console_state::ActiveDocument;
 use hickorycross_config::{
     Balance, Change, Document, Edit, Fault, SCHEMA_VERSION, Stamp, diff, warnings,
 };
 use maud::{Markup, html};
 
 /// The review of a draft.
-pub(crate) fn review(chrome: &Chrome, draft: &Draft, in_force: Option<&InForce>) -> Page {
+pub(crate) fn review(chrome: &Chrome, draft: &Draft, in_force: Option<&ActiveDocument>) -> Page {
     let judged = draft.judge();
     let faults = judged.as_ref().err().map_or(&[][..], Vec::as_slice);
     let body = html! {
@@ -48,7 +48,7 @@
     }
 }
 
-fn valid(draft: &Draft, document: &Document, in_force: Option<&InForce>) -> Markup {
+fn valid(draft: &Draft, document: &Document, in_force: Option<&ActiveDocument>) -> Markup {
     let nothing = empty();
     let held = in_force.map_or(&nothing, |one| &*one.document);
     let stamp = in_force.map_or(Stamp::NONE, |one| one.stamp);
--- a/crates/entry/src/console/routes.rs
+++ b/crates/entry/src/console/routes.rs
@@ -122,7 +122,7 @@
 
 #[get("/console/draft")]
 fn begin_page(console: &Shared, session: Session) -> Page {
-    let in_force = console.observed.in_force();
+    let in_force = console.observed.active_document();
     pages::begin(&Chrome::new(console, Some(&session)), in_force.as_ref(), None)
 }
 
@@ -133,7 +133,7 @@
 
 #[post("/console/begin", data = "<form>")]
 fn begin(console: &Shared, form: Posted) -> Page {
-    let in_force = console.observed.in_force();
+    let in_force = console.observed.active_document();
     let chrome = Chrome::new(console, Some(&form.session));
     let draft = match form.fields.get("from") {
         Some("in-force") => Some(Draft::of(in_force.as_ref())).filter(|_| in_force.is_some()),
@@ -154,7 +154,7 @@
 #[post("/console/draft", data = "<form>")]
 fn draft(console: &Shared, form: Posted) -> Page {
     let chrome = Chrome::new(console, Some(&form.session));
-    let in_force = console.observed.in_force();
+    let in_force = console.observed.active_document();
     let asked = form.fields.get("go").and_then(Go::parse);
     let Some((mut draft, go)) = Draft::read(&form.fields).zip(asked) else {
         return pages::message(&chrome, Status::UnprocessableEntity, NOT_OUR_FORM);
@@ -197,7 +197,7 @@
 /// Were a draft handed out that began from an older revision, publishing it would silently undo
 /// what others changed meanwhile; one would see their changes vanish from the fleet.
 fn hand_out(console: &Shared, chrome: &Chrome, session: &Session, draft: &Draft) -> Page {
-    let in_force = console.observed.in_force();
+    let in_force = console.observed.active_document();
     let is_current = in_force.as_ref().map_or(0, |one| one.stamp.revision) == draft.base.revision;
     match draft.judge() {
         Ok(document) if is_current => {
--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -1,9 +1,14 @@
-//! Turns what happens around the process into events for the core and carries out its actions.
+//! The event loop of an entry.
+//!
+//! The [`Driver`] owns the core, a state machine without I/O. It passes requests, link events and
+//! platform events to the core and executes the actions that the core returns: it sends messages
+//! over links and parts of answers to the HTTP side. It also keeps the HTTP side, the console and
+//! the metrics supplied with the active document and snapshots of the state.
 
+use crate::caller_channel::{AnswerPart, CallerEvent};
 use crate::catalog::Catalog;
-use crate::export::Export;
-use crate::inbox::{Inbound, Part};
-use crate::observed::Observed;
+use crate::console_state::ConsoleState;
+use crate::export::MetricsExporter;
 use hickorycross_config::BackendServerId;
 use hickorycross_core::entry::{EntryAction, EntryCore, EntryEvent};
 use hickorycross_core::message::{ToAgent, ToEntry};
@@ -23,101 +28,103 @@
 use tokio::sync::oneshot;
 use tokio::time::MissedTickBehavior;
 
-/// Pause between two ticks of the core.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval between two ticks of the core.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What reaches the driver from outside.
-pub(crate) struct Inputs {
-    pub(crate) callers: UnboundedReceiver<Inbound>,
+/// The channels from which the driver receives events.
+pub(crate) struct EventSources {
+    pub(crate) callers: UnboundedReceiver<CallerEvent>,
     pub(crate) links: UnboundedReceiver<LinkEvent>,
     pub(crate) platform: UnboundedReceiver<PlatformEvent>,
     pub(crate) drain: oneshot::Receiver<()>,
 }
 
-/// What the driver acts on.
-pub(crate) struct Parts {
+/// The components that the driver connects.
+pub(crate) struct DriverParts {
     pub(crate) core: EntryCore,
     pub(crate) follower: ConfigFollower,
-    pub(crate) own: InstanceId,
+    pub(crate) instance: InstanceId,
     pub(crate) links: Links,
     pub(crate) view: Arc<View>,
     pub(crate) trail: Arc<Trail>,
     pub(crate) catalog: Arc<Catalog>,
-    pub(crate) observed: Arc<Observed>,
+    pub(crate) console_state: Arc<ConsoleState>,
     pub(crate) clock: SteadyClock,
 }
 
-/// Runs an entry until it has drained.
+/// Runs the event loop of an entry until the core reports that it has drained.
 pub(crate) struct Driver {
-    parts: Parts,
-    answers: IndexMap<RequestId, UnboundedSender<Part>>,
-    /// Backend servers at the other ends of links, for logs.
-    backends: IndexMap<LinkId, BackendServerId>,
-    export: Export,
-    drained: bool,
+    parts: DriverParts,
+    /// Channels to the HTTP side, by request whose answer is not complete.
+    answers: IndexMap<RequestId, UnboundedSender<AnswerPart>>,
+    /// The backend server behind each open link, for log lines.
+    backend_servers: IndexMap<LinkId, BackendServerId>,
+    exporter: MetricsExporter,
+    is_drained: bool,
 }
 
 impl Driver {
-    pub(crate) fn new(parts: Parts) -> Self {
+    pub(crate) fn new(parts: DriverParts) -> Self {
         Self {
-            export: Export::new(&parts.own),
+            exporter: MetricsExporter::new(&parts.instance),
             parts,
             answers: IndexMap::new(),
-            backends: IndexMap::new(),
-            drained: false,
+            backend_servers: IndexMap::new(),
+            is_drained: false,
         }
     }
 
-    pub(crate) async fn run(mut self, mut inputs: Inputs) {
-        let mut ticks = tokio::time::interval(TICK);
+    pub(crate) async fn run(mut self, mut sources: EventSources) {
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut draining = false;
-        while !self.drained {
+        while !self.is_drained {
             tokio::select! {
                 biased;
-                _ = &mut inputs.drain, if !draining => {
+                _ = &mut sources.drain, if !draining => {
                     draining = true;
-                    self.handle(EntryEvent::Drain);
+                    self.handle_event(EntryEvent::Drain);
                 }
                 _ = ticks.tick() => self.tick(),
-                Some(event) = inputs.links.recv() => self.on_link(event),
-                Some(event) = inputs.callers.recv() => self.on_caller(event),
-                Some(event) = inputs.platform.recv() => self.on_platform(event),
+                Some(event) = sources.links.recv() => self.on_link(event),
+                Some(event) = sources.callers.recv() => self.on_caller(event),
+                Some(event) = sources.platform.recv() => self.on_platform(event),
             }
         }
     }
 
     fn tick(&mut self) {
-        self.handle(EntryEvent::Tick);
-        let followed = self.parts.follower.tick(self.parts.clock.now());
-        self.follow(followed);
+        self.handle_event(EntryEvent::Tick);
+        let adopted = self.parts.follower.tick(self.parts.clock.now());
+        self.apply_config(adopted);
         let now = self.parts.clock.now();
         let follower = &self.parts.follower;
         let ready = follower.has_document() && follower.is_gate_open(now);
         self.parts.view.update(|status| status.ready = ready);
-        self.show(now);
+        self.publish_state(now);
     }
 
-    /// Shows state and counts to operators, once in a while.
-    fn show(&mut self, now: Now) {
-        if self.export.is_due(now) {
+    /// Publishes the core's state to the status page, the console and the metrics, at most once per
+    /// export interval.
+    fn publish_state(&mut self, now: Now) {
+        if self.exporter.start_if_due(now) {
             let snapshot = self.parts.core.snapshot(now);
             let detail = serde_json::to_value(&snapshot).unwrap_or_default();
             self.parts.view.update(|status| status.detail = detail);
-            self.parts.observed.show(now.unix_ms, snapshot.clone());
-            self.export.run(&self.parts.core.counters(), &snapshot, &self.parts.view.status());
+            self.parts.console_state.set_snapshot(now.unix_ms, snapshot.clone());
+            self.exporter.export(&self.parts.core.counters(), &snapshot, &self.parts.view.status());
         }
     }
 
-    fn handle(&mut self, event: EntryEvent) {
+    fn handle_event(&mut self, event: EntryEvent) {
         let mut actions = Vec::new();
         self.parts.core.handle(self.parts.clock.now(), event, &mut actions);
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
     }
 
-    fn act(&mut self, action: EntryAction) {
+    fn execute(&mut self, action: EntryAction) {
         match action {
             EntryAction::OpenLink { link, address, .. } => self.parts.links.open(link, address),
             EntryAction::CloseLink { link } => self.parts.links.close(link),
@@ -125,12 +132,16 @@
                 self.log_submit(link, &message);
                 self.parts.links.send(link, Frame::ToAgent(message));
             }
-            EntryAction::Head { request, head } => self.pass_on(request, Part::Begin(head)),
-            EntryAction::Chunk { request, bytes } => self.pass_on(request, Part::Chunk(bytes)),
-            EntryAction::Finish { request } => self.end(request, Part::Finish),
-            EntryAction::Refuse { request, refusal } => self.end(request, Part::Refuse(refusal)),
+            EntryAction::Head { request, head } => self.send_part(request, AnswerPart::Head(head)),
+            EntryAction::Chunk { request, bytes } => {
+                self.send_part(request, AnswerPart::Chunk(bytes));
+            }
+            EntryAction::Finish { request } => self.send_last_part(request, AnswerPart::Finish),
+            EntryAction::Refuse { request, refusal } => {
+                self.send_last_part(request, AnswerPart::Refuse(refusal));
+            }
             EntryAction::Audit(record) => self.parts.trail.write(record),
-            EntryAction::Drained => self.drained = true,
+            EntryAction::Drained => self.is_drained = true,
         }
     }
 
@@ -140,86 +151,86 @@
                 target: "request",
                 request = submit.attempt.request.to_string().as_str(),
                 attempt = submit.attempt.ordinal,
-                backend_server = self.backends.get(&link).map_or("-", BackendServerId::as_str);
+                backend_server = self.backend_servers.get(&link).map_or("-", BackendServerId::as_str);
                 "submitted"
             );
         }
     }
 
-    fn pass_on(&self, request: RequestId, part: Part) {
+    fn send_part(&self, request: RequestId, part: AnswerPart) {
         if let Some(answer) = self.answers.get(&request) {
             let _ = answer.send(part);
         }
     }
 
-    fn end(&mut self, request: RequestId, part: Part) {
+    fn send_last_part(&mut self, request: RequestId, part: AnswerPart) {
         if let Some(answer) = self.answers.swap_remove(&request) {
             let _ = answer.send(part);
         }
     }
 
-    fn on_caller(&mut self, event: Inbound) {
+    fn on_caller(&mut self, event: CallerEvent) {
         match event {
-            Inbound::Arrived { arrival, parts } => {
+            CallerEvent::Arrived { arrival, parts } => {
                 self.answers.insert(arrival.request, parts);
-                self.handle(EntryEvent::Arrived(arrival));
+                self.handle_event(EntryEvent::Arrived(arrival));
             }
-            Inbound::CallerGone { request } => {
+            CallerEvent::CallerGone { request } => {
                 self.answers.swap_remove(&request);
-                self.handle(EntryEvent::CallerGone { request });
+                self.handle_event(EntryEvent::CallerGone { request });
             }
         }
     }
 
     fn on_link(&mut self, event: LinkEvent) {
         match event {
-            LinkEvent::Opened { link, hello } => self.on_opened(link, hello),
+            LinkEvent::Opened { link, hello } => self.on_link_opened(link, hello),
             LinkEvent::Frame { link, frame } => self.on_frame(link, frame),
             LinkEvent::Closed { link, reason } => {
                 log::debug!(target: "link", link = link.0, reason = reason.as_str(); "closed");
-                self.backends.swap_remove(&link);
-                self.parts.observed.fleet().closed(link);
-                let followed = self.parts.follower.closed(self.parts.clock.now(), link);
-                self.follow(followed);
+                self.backend_servers.swap_remove(&link);
+                self.parts.console_state.fleet().closed(link);
+                let adopted = self.parts.follower.closed(self.parts.clock.now(), link);
+                self.apply_config(adopted);
                 if !self.parts.follower.owns(link) {
-                    self.handle(EntryEvent::LinkClosed { link });
+                    self.handle_event(EntryEvent::LinkClosed { link });
                 }
             }
         }
     }
 
-    fn on_opened(&mut self, link: LinkId, hello: Hello) {
+    fn on_link_opened(&mut self, link: LinkId, hello: Hello) {
         let now = self.parts.clock.now();
-        self.parts.observed.fleet().greeted(now.unix_ms, link, &hello);
-        let followed = self.parts.follower.greeted(now, link, hello.stamp);
-        self.follow(followed);
+        self.parts.console_state.fleet().greeted(now.unix_ms, link, &hello);
+        let adopted = self.parts.follower.greeted(now, link, hello.stamp);
+        self.apply_config(adopted);
         if self.parts.follower.owns(link) {
             return;
         }
         if let PeerRole::Agent { backend_server } = hello.role {
             let incarnation = hello.incarnation;
-            self.backends.insert(link, backend_server.clone());
-            self.handle(EntryEvent::LinkOpened { link, backend_server, incarnation });
+            self.backend_servers.insert(link, backend_server.clone());
+            self.handle_event(EntryEvent::LinkOpened { link, backend_server, incarnation });
         }
     }
 
     fn on_frame(&mut self, link: LinkId, frame: Frame) {
         let now = self.parts.clock.now();
         if let Frame::Announce(stamp) = &frame {
-            self.parts.observed.fleet().heard(now.unix_ms, link, *stamp);
+            self.parts.console_state.fleet().heard(now.unix_ms, link, *stamp);
         }
         match frame {
             Frame::ToEntry(message) => {
                 if let ToEntry::HeartbeatAck { stamp, .. } = &message {
-                    self.parts.observed.fleet().heard(now.unix_ms, link, *stamp);
-                    let followed = self.parts.follower.heard(now, link, *stamp);
-                    self.follow(followed);
+                    self.parts.console_state.fleet().heard(now.unix_ms, link, *stamp);
+                    let adopted = self.parts.follower.heard(now, link, *stamp);
+                    self.apply_config(adopted);
                 }
-                self.handle(EntryEvent::Message { link, message });
+                self.handle_event(EntryEvent::Message { link, message });
             }
-            other => {
-                let followed = self.parts.follower.frame(now, link, &other);
-                self.follow(followed);
+            frame => {
+                let adopted = self.parts.follower.frame(now, link, &frame);
+                self.apply_config(adopted);
             }
         }
     }
@@ -227,23 +238,26 @@
     fn on_platform(&mut self, event: PlatformEvent) {
         let now = self.parts.clock.now();
         if let PlatformEvent::Instances(instances) = &event {
-            self.parts.observed.fleet().listed(now.unix_ms, instances);
+            self.parts.console_state.fleet().listed(now.unix_ms, instances);
         }
-        let followed = self.parts.follower.platform(now, &event);
-        self.follow(followed);
+        let adopted = self.parts.follower.platform(now, &event);
+        self.apply_config(adopted);
         if let PlatformEvent::Instances(instances) = event {
-            self.handle(EntryEvent::Instances(instances));
+            self.handle_event(EntryEvent::Instances(instances));
         }
     }
 
-    /// Hands an adopted document to all that reads it and to the core, then tells the peers. A
-    /// rival of it is for the audit trail only: an entry is no home of keys.
-    fn follow(&mut self, followed: Option<Followed>) {
-        let Some(Followed::Adopted { stamp, document }) = followed else { return };
+    /// Passes an adopted document to the HTTP side, the console, the metrics and the core, then
+    /// announces its revision to the peers.
+    ///
+    /// A document with the same revision but other content is only written to the audit trail, not
+    /// passed to the core, because an entry stores no idempotency keys.
+    fn apply_config(&mut self, adopted: Option<Followed>) {
+        let Some(Followed::Adopted { stamp, document }) = adopted else { return };
         self.parts.catalog.adopt(Arc::clone(&document));
-        self.parts.observed.adopt(stamp, Arc::clone(&document));
-        self.export.adopt(&document);
-        self.handle(EntryEvent::Adopted { stamp, document });
+        self.parts.console_state.set_active_document(stamp, Arc::clone(&document));
+        self.exporter.add_tiers(&document);
+        self.handle_event(EntryEvent::Adopted { stamp, document });
         self.parts.follower.announce();
     }
 }
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts the entry.
+//! The `hickorycross-entry` program.
 
 use std::process::ExitCode;
 
--- a/crates/entry/src/program.rs
+++ b/crates/entry/src/program.rs
@@ -1,10 +1,10 @@
-//! Starts an entry and stops it.
+//! Starts and stops an entry: sets up its servers, links and driver, and drains it.
 
-use crate::callers::{Bounds, Callers, catchers};
+use crate::callers::{CallerHandler, CallerLimits, catchers};
 use crate::catalog::Catalog;
 use crate::console::{self, Console};
-use crate::driver::{Driver, Inputs, Parts};
-use crate::observed::Observed;
+use crate::console_state::ConsoleState;
+use crate::driver::{Driver, DriverParts, EventSources};
 use crate::settings::Settings;
 use hickorycross_core::entry::{EntryCore, EntryIdentity, EntryPolicies};
 use hickorycross_core::{Incarnation, LinkId};
@@ -26,16 +26,17 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
-/// Numbers of links from here on belong to the start gate; the core counts from one.
+/// First link id used by the configuration follower. The core numbers its links from one, so that
+/// the ids don't collide.
 const FIRST_GATE_LINK: LinkId = LinkId(1 << 62);
 
-/// Why an entry does not start.
+/// An error that keeps an entry from starting.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum StartError {
-    /// The keys of links cannot be used.
+    /// The keys and certificates for links cannot be used.
     #[error(transparent)]
     Security(#[from] SecurityError),
-    /// A server does not start.
+    /// An HTTP server cannot be started.
     #[error(transparent)]
     Serve(#[from] ServeError),
 }
@@ -45,31 +46,31 @@
     driver: tokio::task::JoinHandle<()>,
     drain: Option<oneshot::Sender<()>>,
     view: Arc<View>,
-    callers: Callers,
+    callers: CallerHandler,
     server: Running,
     operators: Running,
-    /// The platform's balancer needs a few checks to notice that the readiness check fails; until
-    /// then it sends new requests, and they are served.
-    /// A span as the settings give it; a drain turns it into a deadline.
+    /// Time from the moment the readiness check fails until the drain begins. The platform's
+    /// balancer needs a few checks to notice the failure; requests that it sends until then are
+    /// still served.
     balancer_notice_ms: u64,
     _renewal: Renewal,
 }
 
-/// Gives renewed keys to an entry, which opens links and accepts none.
-struct LinksOfEntry(Links);
+/// Passes renewed keys to an entry's links. An entry only opens links and accepts none.
+struct EntryLinks(Links);
 
-impl UseKeys for LinksOfEntry {
+impl UseKeys for EntryLinks {
     fn use_keys(&self, keys: LinkKeys) {
         self.0.renew(keys);
     }
 }
 
 impl Entry {
-    /// Starts an entry; it runs until [`Entry::drain`] or until its runtime is dropped.
+    /// Starts an entry. It runs until [`Entry::drain`] returns or its runtime is dropped.
     ///
     /// # Errors
     ///
-    /// When an address is taken or the keys cannot be used.
+    /// Fails if an address is already in use or the keys cannot be used.
     pub async fn start(settings: &Settings, exposition: Exposition) -> Result<Self, StartError> {
         let clock = SteadyClock::start();
         let incarnation = Incarnation(rand::random());
@@ -77,25 +78,36 @@
             Arc::new(View::new(clock, settings.instance.clone(), incarnation, PeerRole::Entry));
         let trail = Arc::new(Trail::default());
         let catalog = Arc::new(Catalog::default());
-        let observed = Arc::new(Observed::default());
+        let console_state = Arc::new(ConsoleState::default());
         let keys = LinkKeys::load(&settings.link_security)?;
         let (links, link_events) = Links::new(keys, view.clone());
-        let (inbound, caller_events) = unbounded_channel();
-        let callers = Callers::new(incarnation, inbound, clock, bounds(settings), catalog.clone());
+        let (caller_sender, caller_events) = unbounded_channel();
+        let callers = CallerHandler::new(
+            incarnation,
+            caller_sender,
+            clock,
+            caller_limits(settings),
+            catalog.clone(),
+        );
         let server = server::build_with(settings.caller_address, caller_tls(settings))
             .mount("/", callers.routes())
             .register("/", catchers(&callers));
         let caller_server = server::start(settings.caller_address, server).await?;
         let views = Views { inspect: view.clone(), trail: trail.clone(), exposition };
         let server = operators::mount(server::build(settings.operator_address), views);
-        let console =
-            Console::new(&settings.operators, clock, view.clone(), trail.clone(), observed.clone());
+        let console = Console::new(
+            &settings.operators,
+            clock,
+            view.clone(),
+            trail.clone(),
+            console_state.clone(),
+        );
         let server = console::mount(server, console);
         let operators = server::start(settings.operator_address, server).await?;
         let surroundings = Surroundings { trail: trail.clone(), inspect: view.clone(), clock };
         let renewal = renewal::follow(
             &settings.link_security,
-            Box::new(LinksOfEntry(links.clone())),
+            Box::new(EntryLinks(links.clone())),
             surroundings,
         );
         let (platform_events, platform) = unbounded_channel();
@@ -112,21 +124,25 @@
             trail: trail.clone(),
             follow,
         });
-        let driver = Driver::new(Parts {
+        let driver = Driver::new(DriverParts {
             core: EntryCore::new(identity, EntryPolicies::production(seed), seed),
             follower,
-            own: settings.instance.clone(),
+            instance: settings.instance.clone(),
             links,
             view: view.clone(),
             trail,
             catalog,
-            observed,
+            console_state,
             clock,
         });
-        let (drain, drain_asked) = oneshot::channel();
-        let inputs =
-            Inputs { callers: caller_events, links: link_events, platform, drain: drain_asked };
-        let driver = tokio::spawn(driver.run(inputs));
+        let (drain, drain_requested) = oneshot::channel();
+        let sources = EventSources {
+            callers: caller_events,
+            links: link_events,
+            platform,
+            drain: drain_requested,
+        };
+        let driver = tokio::spawn(driver.run(sources));
         Ok(Self {
             driver,
             drain: Some(drain),
@@ -139,8 +155,8 @@
         })
     }
 
-    /// Fails the readiness check, waits until the balancer has noticed, finishes open answers, and
-    /// stops.
+    /// Drains and stops the entry: fails the readiness check, waits for the balancer to notice,
+    /// completes open answers, and stops the servers.
     pub async fn drain(mut self) {
         self.view.update(|status| status.draining = true);
         let noticed = Instant::now() + Duration::from_millis(self.balancer_notice_ms);
@@ -155,8 +171,8 @@
     }
 }
 
-fn bounds(settings: &Settings) -> Bounds {
-    Bounds {
+fn caller_limits(settings: &Settings) -> CallerLimits {
+    CallerLimits {
         body_limit_bytes: settings.body_limit_bytes,
         body_timeout_ms: settings.body_timeout_ms,
         open_requests: settings.open_requests,
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The final answer to a request that was given up, as HTTP.
+//! HTTP responses for requests that the core or the HTTP side refuses.
 
 use hickorycross_core::entry::{Refusal, RefusalCode};
 use hickorycross_core::{Now, RequestId, UnixMs, Verdict};
@@ -7,13 +7,13 @@
 use serde::Serialize;
 use std::io::Cursor;
 
-/// Carries the verdict on every refusal.
+/// Response header on every refusal: states whether the request ran.
 pub(crate) const VERDICT_HEADER: &str = "x-hickorycross-verdict";
-/// Carries the request's identifier on every answer.
+/// Response header on every answer: the id of the request.
 pub(crate) const REQUEST_HEADER: &str = "x-hickorycross-request";
 
 #[derive(Serialize)]
-struct Body<'a> {
+struct RefusalBody<'a> {
     error: ErrorBody<'a>,
 }
 
@@ -25,11 +25,15 @@
     request: String,
 }
 
-/// Makes the response of a refusal.
-pub(crate) fn respond(now: Now, request: RequestId, refusal: &Refusal) -> Response<'static> {
-    let body = json(request, refusal);
+/// Builds the response for a refusal by the core.
+pub(crate) fn refusal_response(
+    now: Now,
+    request: RequestId,
+    refusal: &Refusal,
+) -> Response<'static> {
+    let body = error_json(request, refusal);
     let mut response = Response::build()
-        .status(status(refusal.code))
+        .status(status_of(refusal.code))
         .header(ContentType::JSON)
         .header(Header::new(VERDICT_HEADER, refusal.verdict.as_str()))
         .header(Header::new(REQUEST_HEADER, request.to_string()))
@@ -43,54 +47,58 @@
     response
 }
 
-/// Why a request is refused before the core sees it. It has not run.
+/// A refusal by the HTTP side, before the request reaches the core. The request has not run.
 #[derive(Clone, Debug)]
-pub(crate) struct Rejected {
+pub(crate) struct Rejection {
     pub(crate) status: Status,
     pub(crate) code: RefusalCode,
     pub(crate) detail: String,
     pub(crate) retry_at: Option<UnixMs>,
 }
 
-impl Rejected {
-    /// The request broke the rules of the API.
+impl Rejection {
+    /// Creates a rejection for a request that violates the API.
     pub(crate) fn bad_request(detail: String) -> Self {
         let code = RefusalCode::BadRequest;
         Self { status: Status::BadRequest, code, detail, retry_at: None }
     }
 
-    /// The API key is missing or unknown.
+    /// Creates a rejection for a missing or unknown API key.
     pub(crate) fn unknown_key(detail: &str) -> Self {
         let code = RefusalCode::UnknownKey;
         Self { status: Status::Unauthorized, code, detail: detail.to_owned(), retry_at: None }
     }
 }
 
-/// Makes the response of a request that the core never saw.
-pub(crate) fn reject(now: Now, request: RequestId, rejected: &Rejected) -> Response<'static> {
+/// Builds the response for a request that was refused before it reached the core.
+pub(crate) fn rejection_response(
+    now: Now,
+    request: RequestId,
+    rejection: &Rejection,
+) -> Response<'static> {
     let refusal = Refusal {
-        code: rejected.code,
+        code: rejection.code,
         verdict: Verdict::NotRun,
-        retry_at: rejected.retry_at,
-        detail: rejected.detail.clone(),
+        retry_at: rejection.retry_at,
+        detail: rejection.detail.clone(),
     };
-    let mut response = respond(now, request, &refusal);
-    response.set_status(rejected.status);
+    let mut response = refusal_response(now, request, &refusal);
+    response.set_status(rejection.status);
     response
 }
 
-/// The error body of a refusal.
-pub(crate) fn json(request: RequestId, refusal: &Refusal) -> String {
+/// Returns the JSON error body of a refusal.
+pub(crate) fn error_json(request: RequestId, refusal: &Refusal) -> String {
     let error = ErrorBody {
         code: refusal.code,
         message: &refusal.detail,
         verdict: refusal.verdict,
         request: request.to_string(),
     };
-    serde_json::to_string(&Body { error }).unwrap_or_default()
+    serde_json::to_string(&RefusalBody { error }).unwrap_or_default()
 }
 
-const fn status(code: RefusalCode) -> Status {
+const fn status_of(code: RefusalCode) -> Status {
     match code {
         RefusalCode::UnknownKey => Status::Unauthorized,
         RefusalCode::UnknownModel | RefusalCode::UnknownPath => Status::NotFound,
--- a/crates/entry/src/request_log.rs
+++ b/crates/entry/src/request_log.rs
@@ -1,26 +1,26 @@
-//! One line when a request arrives and one when it ends, and the times that callers wait.
+//! Log lines and latency metrics of requests: one line when a request arrives, one when it ends.
 
+use crate::caller_channel::AnswerPart;
 use crate::catalog::Caller;
 use crate::export::{ANSWER_SECONDS, FIRST_CHUNK_SECONDS};
-use crate::inbox::Part;
-use crate::refusal::Rejected;
+use crate::refusal::Rejection;
 use hickorycross_core::RequestId;
 use rocket::Request;
 use std::time::Instant;
 
-/// Stands for what is not known.
-const NONE: &str = "-";
+/// Log value and metric label of a field that is unknown or does not apply.
+const UNKNOWN: &str = "-";
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outcome {
-    /// The answer was whole.
+    /// The answer was complete.
     Finished,
-    /// A refusal was the answer.
+    /// The request was refused before an answer began.
     Refused,
-    /// The answer had begun and was cut off.
+    /// The answer was cut off after it had begun.
     Cut,
-    /// The caller left before.
+    /// The caller disconnected before the answer was complete.
     CallerGone,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// What the lines of one request say.
+/// Collects what is logged about one request; logs the end when dropped, at the latest.
 #[derive(Debug)]
 pub(crate) struct RequestLog {
     request: RequestId,
@@ -47,9 +47,9 @@
 }
 
 impl RequestLog {
-    /// Logs the arrival.
-    pub(crate) fn begin(request: RequestId, head: &Request<'_>) -> Self {
-        // The query is left out: callers put personal data there.
+    /// Logs the arrival of a request and starts measuring its duration.
+    pub(crate) fn start(request: RequestId, head: &Request<'_>) -> Self {
+        // The query is not logged, because it may contain personal data.
         log::debug!(
             target: "request",
             request = request.to_string().as_str(),
@@ -67,61 +67,62 @@
         }
     }
 
-    /// Notes whose request it is.
-    pub(crate) fn identify(&mut self, caller: &Caller) {
+    /// Sets the caller for the line that is logged at the end.
+    pub(crate) fn set_caller(&mut self, caller: &Caller) {
         self.caller = Some(caller.clone());
     }
 
-    /// Notes a part of the answer on its way to the caller.
-    pub(crate) fn saw(&mut self, part: Option<&Part>) {
+    /// Records a part of the answer; logs the end after the last part or if the driver has stopped
+    /// (`None`).
+    pub(crate) fn record_part(&mut self, part: Option<&AnswerPart>) {
         match part {
-            Some(Part::Begin(head)) => self.status = Some(head.status),
-            Some(Part::Chunk(_)) => self.first_chunk(),
-            Some(Part::Finish) => self.end(Outcome::Finished, NONE, NONE),
-            Some(Part::Refuse(refusal)) => {
+            Some(AnswerPart::Head(head)) => self.status = Some(head.status),
+            Some(AnswerPart::Chunk(_)) => self.record_first_chunk(),
+            Some(AnswerPart::Finish) => self.log_end(Outcome::Finished, UNKNOWN, UNKNOWN),
+            Some(AnswerPart::Refuse(refusal)) => {
                 let outcome = if self.status.is_some() { Outcome::Cut } else { Outcome::Refused };
-                self.end(outcome, refusal.verdict.as_str(), &refusal.detail);
+                self.log_end(outcome, refusal.verdict.as_str(), &refusal.detail);
             }
-            None => self.end(Outcome::Cut, "may-have-run", "the entry stopped"),
+            None => self.log_end(Outcome::Cut, "may-have-run", "the entry stopped"),
         }
     }
 
-    /// Logs a refusal that the core never saw.
-    pub(crate) fn rejected(mut self, rejected: &Rejected) {
-        self.status = Some(rejected.status.code);
-        self.end(Outcome::Refused, "not-run", &rejected.detail);
+    /// Logs the end of a request that was refused before it reached the core.
+    pub(crate) fn log_rejection(mut self, rejection: &Rejection) {
+        self.status = Some(rejection.status.code);
+        self.log_end(Outcome::Refused, "not-run", &rejection.detail);
     }
 
-    /// Logs an answer that the entry gave by itself.
-    pub(crate) fn answered(mut self, status: u16) {
+    /// Logs the end of a request that the entry answered without a backend server.
+    pub(crate) fn log_local_answer(mut self, status: u16) {
         self.status = Some(status);
-        self.end(Outcome::Finished, NONE, NONE);
+        self.log_end(Outcome::Finished, UNKNOWN, UNKNOWN);
     }
 
-    fn first_chunk(&mut self) {
+    fn record_first_chunk(&mut self) {
         if !self.has_chunk {
             self.has_chunk = true;
             let seconds = self.arrived_at.elapsed().as_secs_f64();
-            metrics::histogram!(FIRST_CHUNK_SECONDS, "tier" => self.tier()).record(seconds);
+            metrics::histogram!(FIRST_CHUNK_SECONDS, "tier" => self.tier_label()).record(seconds);
         }
     }
 
-    fn tier(&self) -> String {
-        self.caller.as_ref().map_or_else(|| NONE.to_owned(), |caller| caller.tier.to_string())
+    fn tier_label(&self) -> String {
+        self.caller.as_ref().map_or_else(|| UNKNOWN.to_owned(), |caller| caller.tier.to_string())
     }
 
-    fn end(&mut self, outcome: Outcome, verdict: &str, detail: &str) {
+    fn log_end(&mut self, outcome: Outcome, verdict: &str, detail: &str) {
         if std::mem::replace(&mut self.has_ended, true) {
             return;
         }
-        let lasted = self.arrived_at.elapsed();
+        let elapsed = self.arrived_at.elapsed();
         metrics::histogram!(
             ANSWER_SECONDS,
-            "tier" => self.tier(),
+            "tier" => self.tier_label(),
             "outcome" => outcome.as_str()
         )
-        .record(lasted.as_secs_f64());
-        let duration_ms = u64::try_from(lasted.as_millis()).unwrap_or(u64::MAX);
+        .record(elapsed.as_secs_f64());
+        let duration_ms = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
         log::info!(
             target: "request",
             request = self.request.to_string().as_str(),
@@ -129,8 +130,8 @@
             verdict = verdict,
             status = self.status.unwrap_or_default(),
             duration_ms = duration_ms,
-            team = self.caller.as_ref().map_or(NONE, |caller| caller.team.as_str()),
-            tier = self.caller.as_ref().map_or(NONE, |caller| caller.tier.as_str()),
+            team = self.caller.as_ref().map_or(UNKNOWN, |caller| caller.team.as_str()),
+            tier = self.caller.as_ref().map_or(UNKNOWN, |caller| caller.tier.as_str()),
             detail = detail;
             "ended"
         );
@@ -139,6 +140,6 @@
 
 impl Drop for RequestLog {
     fn drop(&mut self) {
-        self.end(Outcome::CallerGone, NONE, NONE);
+        self.log_end(Outcome::CallerGone, UNKNOWN, UNKNOWN);
     }
 }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry.
+//! The settings file of an entry: its fields, defaults and checks.
 
 use crate::console::OperatorCredential;
 use hickorycross_config::FailureDomainId;
@@ -10,61 +10,62 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Longest body that a caller may send, unless the settings say otherwise.
+/// Default of [`Settings::body_limit_bytes`].
 const DEFAULT_BODY_LIMIT_BYTES: u64 = 8 * 1024 * 1024;
-/// Requests that may be open at once, unless the settings say otherwise.
+/// Default of [`Settings::open_requests`].
 const DEFAULT_OPEN_REQUESTS: u32 = 8192;
-/// Largest body limit: a body must fit into one frame of a link.
+/// Maximum of [`Settings::body_limit_bytes`]: a body must fit into one frame of a link.
 const LARGEST_BODY_LIMIT_BYTES: u64 = 24 * 1024 * 1024;
-/// Time that a caller has for sending its body, unless the settings say otherwise.
+/// Default of [`Settings::body_timeout_ms`].
 const DEFAULT_BODY_TIMEOUT_MS: u64 = 20_000;
-/// Longest time that a caller may be given for its body.
+/// Maximum of [`Settings::body_timeout_ms`].
 const LARGEST_BODY_TIMEOUT_MS: u64 = 600_000;
-/// Time that the platform's balancer has for noticing, unless the settings say otherwise.
+/// Default of [`Settings::balancer_notice_ms`].
 const DEFAULT_BALANCER_NOTICE_MS: u64 = 3_000;
-/// Longest time that the balancer may be given.
+/// Maximum of [`Settings::balancer_notice_ms`].
 const LARGEST_BALANCER_NOTICE_MS: u64 = 60_000;
 
-/// What an entry must know before it starts.
+/// The settings of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Its instance in the platform's list.
+    /// Id of the entry's instance in the platform's list.
     pub instance: InstanceId,
-    /// Where it stands.
+    /// Failure domain of the instance.
     pub failure_domain: FailureDomainId,
-    /// Where callers reach it.
+    /// Address on which callers' requests are accepted.
     pub caller_address: SocketAddr,
-    /// Keys towards callers; without them, callers use plain HTTP.
+    /// Certificate and key for callers' connections; plain HTTP is used without them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub caller_tls: Option<CallerTls>,
-    /// Where operators reach it.
+    /// Address of the status pages, metrics and console.
     pub operator_address: SocketAddr,
-    /// Base address of the platform's services.
+    /// Base URL of the platform's services.
     pub platform_url: String,
     /// How links are secured.
     pub link_security: LinkSecurity,
-    /// Longest body that a caller may send.
+    /// Largest request body that is accepted.
     #[serde(default = "default_body_limit_bytes")]
     pub body_limit_bytes: u64,
-    /// Time that a caller has for sending its body.
+    /// Time within which a caller has to send its whole body.
     #[serde(default = "default_body_timeout_ms")]
     pub body_timeout_ms: u64,
-    /// Requests that may be open at once.
+    /// Maximum number of open requests; further ones are refused.
     #[serde(default = "default_open_requests")]
     pub open_requests: u32,
-    /// Who may sign in to the console; without any, its forms are off.
+    /// Operators who may sign in to the console. If empty, its forms are disabled.
     #[serde(default)]
     pub operators: Vec<OperatorCredential>,
-    /// Time from the failing of the readiness check until nothing new is taken.
+    /// Time from the moment the readiness check fails, when a stop is requested, until new requests
+    /// are refused.
     #[serde(default = "default_balancer_notice_ms")]
     pub balancer_notice_ms: u64,
-    /// Log levels, in the form of `RUST_LOG`.
+    /// Log levels, in the syntax of `RUST_LOG`.
     #[serde(default = "default_log_filter")]
     pub log_filter: String,
 }
 
-/// Keys towards callers.
+/// Certificate and key for callers' connections.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerTls {
