--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -95,8 +95,8 @@
 
     fn tick(&mut self) {
         self.handle_event(EntryEvent::Tick);
-        let adopted = self.parts.follower.tick(self.parts.clock.now());
-        self.apply_config(adopted);
+        let update = self.parts.follower.tick(self.parts.clock.now());
+        self.apply_config(update);
         let now = self.parts.clock.now();
         let follower = &self.parts.follower;
         let ready = follower.has_document() && follower.is_gate_open(now);
@@ -190,8 +190,8 @@
                 log::debug!(target: "link", link = link.0, reason = reason.as_str(); "closed");
                 self.backend_servers.swap_remove(&link);
                 self.parts.console_state.fleet().closed(link);
-                let adopted = self.parts.follower.closed(self.parts.clock.now(), link);
-                self.apply_config(adopted);
+                let update = self.parts.follower.closed(self.parts.clock.now(), link);
+                self.apply_config(update);
                 if !self.parts.follower.owns(link) {
                     self.handle_event(EntryEvent::LinkClosed { link });
                 }
@@ -202,8 +202,8 @@
     fn on_link_opened(&mut self, link: LinkId, hello: Hello) {
         let now = self.parts.clock.now();
         self.parts.console_state.fleet().greeted(now.unix_ms, link, &hello);
-        let adopted = self.parts.follower.greeted(now, link, hello.stamp);
-        self.apply_config(adopted);
+        let update = self.parts.follower.greeted(now, link, hello.stamp);
+        self.apply_config(update);
         if self.parts.follower.owns(link) {
             return;
         }
@@ -223,14 +223,14 @@
             Frame::ToEntry(message) => {
                 if let ToEntry::HeartbeatAck { stamp, .. } = &message {
                     self.parts.console_state.fleet().heard(now.unix_ms, link, *stamp);
-                    let adopted = self.parts.follower.heard(now, link, *stamp);
-                    self.apply_config(adopted);
+                    let update = self.parts.follower.heard(now, link, *stamp);
+                    self.apply_config(update);
                 }
                 self.handle_event(EntryEvent::Message { link, message });
             }
             frame => {
-                let adopted = self.parts.follower.frame(now, link, &frame);
-                self.apply_config(adopted);
+                let update = self.parts.follower.frame(now, link, &frame);
+                self.apply_config(update);
             }
         }
     }
@@ -240,8 +240,8 @@
         if let PlatformEvent::Instances(instances) = &event {
             self.parts.console_state.fleet().listed(now.unix_ms, instances);
         }
-        let adopted = self.parts.follower.platform(now, &event);
-        self.apply_config(adopted);
+        let update = self.parts.follower.platform(now, &event);
+        self.apply_config(update);
         if let PlatformEvent::Instances(instances) = event {
             self.handle_event(EntryEvent::Instances(instances));
         }
@@ -252,8 +252,8 @@
     ///
     /// A document with the same revision but other content is only written to the audit trail, not
     /// passed to the core, because an entry stores no idempotency keys.
-    fn apply_config(&mut self, adopted: Option<Followed>) {
-        let Some(Followed::Adopted { stamp, document }) = adopted else { return };
+    fn apply_config(&mut self, update: Option<Followed>) {
+        let Some(Followed::Adopted { stamp, document }) = update else { return };
         self.parts.catalog.adopt(Arc::clone(&document));
         self.parts.console_state.set_active_document(stamp, Arc::clone(&document));
         self.exporter.add_tiers(&document);
--- a/crates/entry/tests/bad_requests.rs
+++ b/crates/entry/tests/bad_requests.rs
@@ -1,4 +1,4 @@
-//! What callers get for requests that break a rule: status, error body, verdict, request id.
+//! Tests of responses to invalid requests: status, error body, verdict and request id.
 
 mod local;
 #[path = "local/raw.rs"]
@@ -6,7 +6,7 @@
 
 use googletest::prelude::*;
 use hickorycross_entry::demo::Stage;
-use local::{KEY, Local, wait_for};
+use local::{API_KEY, LocalFleet, wait_for};
 use raw::{Answer, exchange, read_answer};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -26,12 +26,12 @@
 }
 
 impl Case {
-    /// A request for a model that breaks no rule, but for what a case changes.
+    /// Creates a case with a valid request to a model, which the other methods make invalid.
     fn new(name: &'static str, status: u16, code: &'static str) -> Self {
         Self {
             name,
             line: "POST /v1/chat/completions",
-            headers: vec![("authorization", format!("Bearer {KEY}"))],
+            headers: vec![("authorization", format!("Bearer {API_KEY}"))],
             body: PROMPT.to_owned(),
             status,
             code,
@@ -75,7 +75,8 @@
     vec![
         Case::new("no key", 401, "unknown_key").without_key(),
         Case::new("wrong key", 401, "unknown_key").header("authorization", "Bearer guess"),
-        Case::new("another scheme", 401, "unknown_key").header("authorization", "Basic Zm9v"),
+        Case::new("other authentication scheme", 401, "unknown_key")
+            .header("authorization", "Basic Zm9v"),
         Case::new("no key for the model list", 401, "unknown_key")
             .line("GET /v1/models")
             .without_key(),
@@ -83,7 +84,7 @@
         Case::new("unknown path", 404, "unknown_path").line("POST /nowhere"),
         Case::new("broken JSON", 400, "bad_request").body(r#"{"model":"gujarati-line""#),
         Case::new("no model", 400, "bad_request").body("{}"),
-        Case::new("model is no text", 400, "bad_request").body(r#"{"model":7}"#),
+        Case::new("model is not a string", 400, "bad_request").body(r#"{"model":7}"#),
         Case::new("expired deadline", 504, "deadline_passed")
             .header("x-hickorycross-deadline-unix-ms", "1000"),
         Case::new("malformed deadline", 400, "bad_request")
@@ -93,13 +94,13 @@
         Case::new("empty idempotency key", 400, "bad_request").header("idempotency-key", ""),
         Case::new("over-long idempotency key", 400, "bad_request")
             .header("idempotency-key", &"k".repeat(257)),
-        Case::new("malformed mark", 400, "bad_request")
+        Case::new("malformed non-idempotent header", 400, "bad_request")
             .header("x-hickorycross-non-idempotent", "maybe"),
         Case::new("oversize body", 413, "bad_request").body(&"x".repeat(1001)),
-        Case::new("unserved method", 405, "bad_request").line("TRACE /v1/models").body(""),
+        Case::new("unsupported method", 405, "bad_request").line("TRACE /v1/models").body(""),
         Case::new("unknown method", 400, "bad_request").line("FETCH /v1/models").body(""),
         path("parent segment", "POST /textbook/x/../hand-ins/7"),
-        path("own segment", "POST /textbook/./hand-ins/7"),
+        path("current-directory segment", "POST /textbook/./hand-ins/7"),
         path("empty segment", "POST /textbook//hand-ins/7"),
         path("encoded letter", "POST /textbook/%68and-ins/7"),
         path("encoded dots", "POST /textbook/x/%2e%2e/hand-ins/7"),
@@ -108,12 +109,12 @@
     ]
 }
 
-fn bounded(stage: &mut Stage) {
+fn set_body_limits(stage: &mut Stage) {
     stage.entries[0].body_limit_bytes = BODY_LIMIT_BYTES;
     stage.entries[0].body_timeout_ms = BODY_TIMEOUT_MS;
 }
 
-/// Checks what every refusal has.
+/// Checks the status, headers and error body of a refusal.
 fn expect_refusal(name: &str, answer: &Answer, status: u16, code: &str, retry_after: bool) {
     let json = answer.json();
     let error = &json["error"];
@@ -131,10 +132,10 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn every_refusal_says_what_is_wrong() {
-    let local = Local::entry_alone(bounded).await;
+async fn invalid_requests_are_refused_with_an_error_body() {
+    let local = LocalFleet::start_entry_only(set_body_limits).await;
     for case in cases() {
-        let answer = exchange(local.callers(), &case.bytes()).await;
+        let answer = exchange(local.caller_address(), &case.bytes()).await;
         expect_refusal(case.name, &answer, case.status, case.code, case.retry_after);
         expect_that!(answer.header("allow").is_some(), eq(case.status == 405), "{}", case.name);
     }
@@ -142,88 +143,87 @@
     expect_that!(local.services().map(|service| service.calls().len()).sum::<usize>(), eq(0));
 }
 
-// Symptom: a caller holds a connection and a place at the entry for ever.
-// Sequence: it announces a body, sends a part, and stops.
-// Cause: a body without a bound on its time.
+// Guards against callers that hold a connection and an open request indefinitely: a caller
+// announces a body, sends a part of it, and stops, and no timeout applies to the body.
 //
-// Rocket itself waits for the first 14 bytes of a body, without a bound and before it calls any
-// code of ours; docs/CALLERS.md names that limit.
+// Known limit, documented in docs/CALLERS.md: Rocket waits for the first 14 bytes of a body without
+// a timeout, before it calls a handler.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_slow_body_is_given_up() {
-    let local = Local::entry_alone(bounded).await;
+async fn a_slow_body_times_out() {
+    let local = LocalFleet::start_entry_only(set_body_limits).await;
     let head = format!(
-        "POST /v1/chat/completions HTTP/1.1\r\nhost: entry\r\nauthorization: Bearer {KEY}\r\n\
+        "POST /v1/chat/completions HTTP/1.1\r\nhost: entry\r\nauthorization: Bearer {API_KEY}\r\n\
          connection: close\r\ncontent-length: 40\r\n\r\n{}",
         " ".repeat(20)
     );
-    let answer = exchange(local.callers(), head.as_bytes()).await;
+    let answer = exchange(local.caller_address(), head.as_bytes()).await;
     expect_refusal("slow body", &answer, 408, "deadline_passed", false);
 }
 
-/// Begins a request whose body lacks its last byte.
-async fn hold_the_place(local: &Local) -> TcpStream {
-    let mut holder = TcpStream::connect(local.callers()).await.expect("a connection");
+/// Opens a request and leaves out the last byte of its body.
+async fn open_incomplete_request(local: &LocalFleet) -> TcpStream {
+    let mut open_request = TcpStream::connect(local.caller_address()).await.expect("a connection");
     let head = format!(
-        "POST /v1/chat/completions HTTP/1.1\r\nhost: entry\r\nauthorization: Bearer {KEY}\r\n\
+        "POST /v1/chat/completions HTTP/1.1\r\nhost: entry\r\nauthorization: Bearer {API_KEY}\r\n\
          connection: close\r\ncontent-length: 22\r\n\r\n{{{}",
         " ".repeat(20)
     );
-    holder.write_all(head.as_bytes()).await.expect("bytes sent");
-    holder
+    open_request.write_all(head.as_bytes()).await.expect("bytes sent");
+    open_request
 }
 
-// Symptom: an entry takes ever more requests and runs out of memory.
-// Sequence: more callers than it can hold send at once.
-// Cause: no bound on open requests; streams that are still being answered not counted.
+// Guards against an entry that runs out of memory when many callers send at once, because open
+// requests are not limited, or streams that are still being answered are not counted.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn too_many_open_requests_are_refused() {
-    let local = Local::entry_alone(|stage: &mut Stage| stage.entries[0].open_requests = 1).await;
-    let mut holder = hold_the_place(&local).await;
+    let local =
+        LocalFleet::start_entry_only(|stage: &mut Stage| stage.entries[0].open_requests = 1).await;
+    let mut open_request = open_incomplete_request(&local).await;
     let model_list = Case::new("full", 503, "overloaded").line("GET /v1/models").body("");
-    wait_for("the entry is full", async || {
-        if exchange(local.callers(), &model_list.bytes()).await.status == 503 {
+    wait_for("the limit on open requests to be reached", async || {
+        if exchange(local.caller_address(), &model_list.bytes()).await.status == 503 {
             return true;
         }
-        // The probe took the only place itself: whoever was to hold it has been refused.
-        if holder.try_read(&mut [0]).is_ok() {
-            holder = hold_the_place(&local).await;
+        // A probe took the only permit, so the request that should hold it was refused: retry it.
+        if open_request.try_read(&mut [0]).is_ok() {
+            open_request = open_incomplete_request(&local).await;
         }
         false
     })
     .await;
-    let answer = exchange(local.callers(), &model_list.bytes()).await;
+    let answer = exchange(local.caller_address(), &model_list.bytes()).await;
     expect_refusal("full", &answer, 503, "overloaded", true);
 
-    holder.write_all(b"}").await.expect("bytes sent");
-    expect_that!(read_answer(&mut holder).await.status, eq(400));
-    wait_for("there is room again", async || {
-        exchange(local.callers(), &model_list.bytes()).await.status == 200
+    open_request.write_all(b"}").await.expect("bytes sent");
+    expect_that!(read_answer(&mut open_request).await.status, eq(400));
+    wait_for("the open request to be released", async || {
+        exchange(local.caller_address(), &model_list.bytes()).await.status == 200
     })
     .await;
 }
 
-/// The HTTP library refuses these before Rocket sees them, without a body.
+/// The HTTP library refuses oversize heads before Rocket handles them, with an empty body.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn heads_that_are_too_large_are_refused() {
-    let local = Local::entry_alone(bounded).await;
+async fn oversize_heads_are_refused() {
+    let local = LocalFleet::start_entry_only(set_body_limits).await;
     let many = "x-many: 1\r\n".repeat(200);
     let request = format!("GET /v1/models HTTP/1.1\r\nhost: entry\r\n{many}\r\n");
-    expect_that!(exchange(local.callers(), request.as_bytes()).await.status, eq(431));
+    expect_that!(exchange(local.caller_address(), request.as_bytes()).await.status, eq(431));
     let long = "x".repeat(1 << 20);
     let request = format!("GET /v1/models HTTP/1.1\r\nhost: entry\r\nx-long: {long}\r\n\r\n");
-    expect_that!(exchange(local.callers(), request.as_bytes()).await.status, eq(431));
+    expect_that!(exchange(local.caller_address(), request.as_bytes()).await.status, eq(431));
 }
 
-/// An entry that has not adopted a document refuses, and says when to come back.
+/// An entry that has not adopted a document refuses requests with a `retry-after` header.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_without_a_document_refuses() {
-    let local = Local::entry_alone(bounded).await;
+    let local = LocalFleet::start_entry_only(set_body_limits).await;
     let mut settings = local.stage.entries[1].clone();
-    // Nothing listens there.
+    // No platform listens at this address.
     settings.platform_url = format!("http://{}", settings.caller_address);
     let _second = local::start_entry(&settings).await;
     let case = Case::new("no document", 503, "not_ready");
--- a/crates/entry/tests/cut_off.rs
+++ b/crates/entry/tests/cut_off.rs
@@ -1,11 +1,12 @@
-//! An answer that is cut off is never presented as whole, and one that nobody waits for is stopped.
+//! Tests of interrupted answers: callers can detect that an answer was cut off, and an answer is
+//! cancelled when its caller disconnects.
 
 mod local;
 
 use googletest::prelude::*;
 use hickorycross_entry::demo::Stage;
 use hickorycross_standins::{CallState, EngineStandIn, Failure};
-use local::{Local, wait_for};
+use local::{LocalFleet, wait_for};
 use reqwest::Method;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -14,18 +15,17 @@
 
 const COMPLETIONS: &str = "/v1/chat/completions";
 
-fn prompt(tokens: u32, stream: bool) -> Value {
+fn chat_request(tokens: u32, stream: bool) -> Value {
     json!({"model": "gujarati-line", "max_tokens": tokens, "stream": stream,
         "messages": [{"role": "user", "content": "a line"}]})
 }
 
-// Symptom: a caller takes a part of an answer for the whole.
-// Sequence: the backend server announces a length, sends a piece and breaks off.
-// Cause: the entry ends the caller's connection as if the body were whole.
+// Guards against a truncated answer that looks complete: the backend server announces a length and
+// fails after a part of the body, and the entry ends the caller's response as if it were complete.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_of_known_length_breaks_the_connection() -> googletest::Result<()> {
-    let local = Local::whole(|_: &mut Stage| {}).await;
+async fn a_truncated_answer_of_known_length_closes_the_connection() -> googletest::Result<()> {
+    let local = LocalFleet::start(|_: &mut Stage| {}).await;
     local.services().for_each(|service| {
         service.update(|knobs| {
             knobs.failure = Failure::BreakAfter(2);
@@ -33,8 +33,8 @@
         });
     });
     let long = "x".repeat(8_000);
-    let asked = local.request(Method::GET, "/textbook/words").header("x-long", long);
-    let answer = asked.send().await.or_fail()?;
+    let request = local.request(Method::GET, "/textbook/words").header("x-long", long);
+    let answer = request.send().await.or_fail()?;
     expect_that!(answer.status().as_u16(), eq(200));
     let announced = answer.content_length();
     expect_that!(announced, some(gt(8_000)));
@@ -42,21 +42,20 @@
     Ok(())
 }
 
-// Symptom: a teacher sees half a correction and takes it for whole.
-// Sequence: the engine breaks off within a stream of events.
-// Cause: a chunked body ends alike, whether it is whole or cut off.
+// Guards against a truncated event stream that looks complete: the engine fails during the stream,
+// and the end of a chunked body does not show whether the stream was cut off.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_of_events_closes_with_an_error() -> googletest::Result<()> {
-    let local = Local::whole(|_: &mut Stage| {}).await;
+async fn a_truncated_event_stream_ends_with_an_error_event() -> googletest::Result<()> {
+    let local = LocalFleet::start(|_: &mut Stage| {}).await;
     local.engines().for_each(|engine| {
         engine.update(|knobs| {
             knobs.failure = Failure::BreakAfter(3);
             knobs.between_pieces_ms = 20;
         });
     });
-    let asked = local.request(Method::POST, COMPLETIONS).json(&prompt(12, true));
-    let answer = asked.send().await.or_fail()?;
+    let request = local.request(Method::POST, COMPLETIONS).json(&chat_request(12, true));
+    let answer = request.send().await.or_fail()?;
     expect_that!(answer.status().as_u16(), eq(200));
     let events = answer.text().await.or_fail()?;
     expect_that!(events, contains_substring("\n\nevent: error\ndata: {\"error\":{"));
@@ -68,21 +67,20 @@
     Ok(())
 }
 
-// Symptom: a caller takes a part of an answer for the whole.
-// Sequence: a backend server sends a chunked answer of no known length and breaks off.
-// Cause: the entry passes such an answer on before it knows that it is whole.
+// Guards against a truncated chunked answer that looks complete: the backend server announces no
+// length and fails, and the entry forwards the answer before it has received all of it.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_of_unknown_length_becomes_an_error() -> googletest::Result<()> {
-    let backend = start_breaking_backend().await.or_fail()?;
-    let lead_there = |stage: &mut Stage| {
+async fn a_truncated_answer_of_unknown_length_is_refused() -> googletest::Result<()> {
+    let backend = start_failing_backend().await.or_fail()?;
+    let use_failing_backend = |stage: &mut Stage| {
         for agent in &mut stage.agents {
             agent.backend_url = format!("http://{backend}");
         }
     };
-    let local = Local::whole(lead_there).await;
-    let asked = local.request(Method::GET, "/textbook/words");
-    let answer = asked.send().await.or_fail()?;
+    let local = LocalFleet::start(use_failing_backend).await;
+    let request = local.request(Method::GET, "/textbook/words");
+    let answer = request.send().await.or_fail()?;
     expect_that!(answer.status().as_u16(), eq(502));
     let verdict = answer.headers().get("x-hickorycross-verdict").cloned().or_fail()?;
     expect_that!(verdict.to_str().or_fail()?, not(eq("not-run")));
@@ -91,19 +89,19 @@
     Ok(())
 }
 
-/// A backend server that is well, and breaks off every answer after its first chunk.
-async fn start_breaking_backend() -> std::io::Result<SocketAddr> {
+/// Starts a backend server that is healthy but closes every answer after its first chunk.
+async fn start_failing_backend() -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(break_off(stream));
+            tokio::spawn(send_first_chunk(stream));
         }
     });
     Ok(address)
 }
 
-async fn break_off(mut stream: TcpStream) -> std::io::Result<()> {
+async fn send_first_chunk(mut stream: TcpStream) -> std::io::Result<()> {
     let mut head = [0; 4096];
     let count = stream.read(&mut head).await?;
     if head[..count].starts_with(b"GET /health") {
@@ -119,19 +117,18 @@
         .await
 }
 
-// Symptom: engines spend their slots on answers that nobody reads.
-// Sequence: a caller goes away within a stream.
-// Cause: its leaving is not told to the agent, or not to the backend server.
+// Guards against engines that spend their slots on answers without a reader: a caller disconnects
+// during a stream, and the cancellation does not reach the agent or the backend server.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_ends_its_work() -> googletest::Result<()> {
-    let local = Local::whole(|_: &mut Stage| {}).await;
+async fn a_disconnected_caller_cancels_its_request() -> googletest::Result<()> {
+    let local = LocalFleet::start(|_: &mut Stage| {}).await;
     local.engines().for_each(|engine| engine.update(|knobs| knobs.between_pieces_ms = 20));
-    let asked = local.request(Method::POST, COMPLETIONS).json(&prompt(100_000, true));
-    let mut answer = asked.send().await.or_fail()?;
+    let request = local.request(Method::POST, COMPLETIONS).json(&chat_request(100_000, true));
+    let mut answer = request.send().await.or_fail()?;
     expect_that!(answer.chunk().await.or_fail()?, some(anything()));
     drop(answer);
-    wait_for("the engine's work is cancelled", async || {
+    wait_for("the engine's request to be cancelled", async || {
         let mut calls = local.engines().flat_map(EngineStandIn::calls);
         calls.any(|call| call.state == CallState::CallerGone)
     })
--- a/crates/entry/tests/fleet/mod.rs
+++ b/crates/entry/tests/fleet/mod.rs
@@ -1,4 +1,6 @@
-//! A fleet of real processes around stand-ins, for tests. Links to agents pass through relays.
+//! A fleet of real entry and agent processes, with stand-ins for backend servers and platform.
+//!
+//! Links to agents pass through UDP relays, so that tests can interrupt them.
 
 mod process;
 
@@ -17,17 +19,17 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Duration;
 
-/// The school spelling example.
+/// The example document of a school spelling service.
 #[allow(dead_code, reason = "each test file uses the parts that it needs")]
-pub(crate) const SCHOOL: &str = include_str!("../../../../examples/saraswati.json");
-const SMALL: &str = include_str!("small.json");
-const TRIES: u32 = 2_400;
-const PAUSE: Duration = Duration::from_millis(50);
+pub(crate) const SCHOOL_DOCUMENT: &str = include_str!("../../../../examples/saraswati.json");
+const SMALL_DOCUMENT: &str = include_str!("small.json");
+const MAX_POLLS: u32 = 2_400;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const RELAY_SEED: u64 = 7;
 
 static NEXT_NETWORK: AtomicU8 = AtomicU8::new(1);
 
-/// Stand-ins and processes that end with the test.
+/// Stand-ins and processes, which are stopped when this is dropped.
 #[allow(dead_code, reason = "each test file uses the parts that it needs")]
 pub(crate) struct Fleet {
     pub(crate) stage: Stage,
@@ -37,14 +39,14 @@
     pub(crate) client: reqwest::Client,
 }
 
-/// The small document, with the keys `example-key-<team>`.
+/// Returns a small document in which the API key of a team is `example-key-<team>`.
 #[allow(dead_code, reason = "each test file uses the parts that it needs")]
 pub(crate) fn small_document() -> String {
     let hash = |team| {
         let hash = hash_api_key(&format!("example-key-{team}"));
         serde_json::to_value(hash).ok().and_then(|hash| hash.as_str().map(str::to_owned))
     };
-    SMALL
+    SMALL_DOCUMENT
         .replace("KEY_CLERKS", &hash("clerks").expect("a hash"))
         .replace("KEY_ARCHIVE", &hash("archive").expect("a hash"))
 }
@@ -54,11 +56,11 @@
     /// Starts stand-ins, all agents of a document and some entries, and waits until they are
     /// ready.
     pub(crate) async fn start(document: &str, entries: u8, knobs: Knobs) -> Self {
-        Self::start_in_step(document, entries, knobs, None).await
+        Self::start_with_lock_step(document, entries, knobs, None).await
     }
 
-    /// The same with engines that step together.
-    pub(crate) async fn start_in_step(
+    /// Like [`Fleet::start`], with engines that run their steps in lock-step if `lock_step` is set.
+    pub(crate) async fn start_with_lock_step(
         document: &str,
         entries: u8,
         knobs: Knobs,
@@ -73,7 +75,7 @@
             log_filter: "warn,audit=off,platform=off".to_owned(),
         };
         let mut stage = Stage::set_up(&options).await.expect("a stage");
-        let relays = put_relays_between(&mut stage).await;
+        let relays = insert_relays(&mut stage).await;
         let agents = stage.agents.iter().map(|settings| {
             let process = Process::spawn(&agent_program(), &settings.instance, settings);
             (settings.backend_server.as_str().to_owned(), process)
@@ -92,7 +94,7 @@
         fleet
     }
 
-    /// A request with a team's example key and a body in JSON, to be sent.
+    /// Creates a POST request to an entry with a team's API key and a JSON body.
     pub(crate) fn post<T: Serialize>(
         &self,
         entry: usize,
@@ -107,18 +109,18 @@
             .json(body)
     }
 
-    /// Operators' addresses of every process, agents first.
+    /// Returns the operator addresses of all processes, agents first.
     pub(crate) fn operator_addresses(&self) -> Vec<SocketAddr> {
         let agents = self.stage.agents.iter().map(|settings| settings.operator_address);
         agents.chain(self.stage.entries.iter().map(|settings| settings.operator_address)).collect()
     }
 
-    /// What a process says of itself; none while it does not answer.
+    /// Fetches the status of a process. Returns `None` if it does not answer.
     pub(crate) async fn status(&self, address: SocketAddr) -> Option<Status> {
         self.client.get(format!("http://{address}/status")).send().await.ok()?.json().await.ok()
     }
 
-    /// Waits until a process answers its readiness check.
+    /// Waits until the readiness check of a process succeeds.
     pub(crate) async fn wait_until_ready(&self, address: SocketAddr) {
         let url = format!("http://{address}/health/ready");
         wait_for(&url, async || {
@@ -137,7 +139,7 @@
         .await;
     }
 
-    /// Marks an agent's instance in the platform's list.
+    /// Sets the state of an agent's instance in the platform's list.
     pub(crate) fn list_as(&mut self, backend_server: &str, state: InstanceState) {
         let id = format!("agent-of-{backend_server}");
         let rows = self.stage.instances.iter_mut();
@@ -146,18 +148,18 @@
     }
 }
 
-/// Waits until a condition holds; the bound only ends a test that would hang.
-pub(crate) async fn wait_for(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    for _ in 0..TRIES {
-        if holds().await {
+/// Polls until a condition holds; panics after [`MAX_POLLS`], so that a failing test ends.
+pub(crate) async fn wait_for(description: &str, mut condition: impl AsyncFnMut() -> bool) {
+    for _ in 0..MAX_POLLS {
+        if condition().await {
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("waited in vain: {what}");
+    panic!("timed out waiting for {description}");
 }
 
-async fn put_relays_between(stage: &mut Stage) -> IndexMap<String, UdpRelay> {
+async fn insert_relays(stage: &mut Stage) -> IndexMap<String, UdpRelay> {
     let mut relays = IndexMap::new();
     for (agent, instance) in stage.agents.iter().zip(&mut stage.instances) {
         let relay = UdpRelay::start(agent.link_address, RELAY_SEED).await.expect("a relay");
@@ -168,15 +170,15 @@
     relays
 }
 
-/// A changed document: one field of the small one, so that its revisions differ.
+/// Returns the document with another title, to publish it as another revision.
 #[allow(dead_code, reason = "each test file uses the parts that it needs")]
-pub(crate) fn retitled(document: &str, title: &str) -> String {
+pub(crate) fn with_title(document: &str, title: &str) -> String {
     let mut document: Document = serde_json::from_str(document).expect("a document");
     document.title = title.to_owned();
     document.canonical_json()
 }
 
-/// Two bytes of a loopback network that no other test process uses at the same time.
+/// Returns two bytes of a loopback network address that no concurrent test process uses.
 fn unique_network() -> [u8; 2] {
     let [.., third, fourth] = std::process::id().to_be_bytes();
     let own = NEXT_NETWORK.fetch_add(1, Ordering::Relaxed);
--- a/crates/entry/tests/fleet/process.rs
+++ b/crates/entry/tests/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One real process of the fleet.
+//! Starts, signals and stops one process of the fleet.
 
 use hickorycross_core::InstanceId;
 use rustix::process::{Pid, Signal, kill_process};
@@ -9,7 +9,7 @@
 
 static NEXT_FILE: AtomicU64 = AtomicU64::new(0);
 
-/// A process and its settings file; both go when this is dropped.
+/// A process with its settings file. Dropping it kills the process and deletes the file.
 pub(crate) struct Process {
     child: Child,
     settings: PathBuf,
@@ -17,7 +17,7 @@
 
 #[allow(dead_code, reason = "each test file uses the parts that it needs")]
 impl Process {
-    /// Starts a program with settings.
+    /// Writes a settings file and starts a program with it.
     pub(crate) fn spawn<T: Serialize>(program: &Path, name: &InstanceId, settings: &T) -> Self {
         let number = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
         let file = format!("hickorycross-{}-{number}-{name}.json", std::process::id());
@@ -34,29 +34,29 @@
         Self { child, settings: file }
     }
 
-    /// Ends it at once.
+    /// Kills the process with SIGKILL and waits for it to exit.
     pub(crate) fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Stops it as a paused machine would.
-    pub(crate) fn freeze(&self) {
+    /// Suspends the process with SIGSTOP, as on a paused machine.
+    pub(crate) fn suspend(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets it go on.
-    pub(crate) fn thaw(&self) {
+    /// Resumes the process with SIGCONT.
+    pub(crate) fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Asks it to drain.
+    /// Sends SIGTERM, which starts a drain.
     pub(crate) fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// How it ended; none while it runs.
-    pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
+    /// Returns the exit status, or `None` while the process runs.
+    pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
@@ -73,13 +73,13 @@
     }
 }
 
-/// The entry's program.
+/// Returns the path of the entry's program.
 pub(crate) fn entry_program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_hickorycross-entry"))
 }
 
-/// The agent's program. Cargo names only a package's own programs to its tests; the agent's stands
-/// beside the entry's.
+/// Returns the path of the agent's program, which is in the same directory as the entry's. Cargo
+/// passes a test only the paths of its own package's programs.
 pub(crate) fn agent_program() -> PathBuf {
     entry_program().with_file_name("hickorycross-agent")
 }
--- a/crates/entry/tests/local/mod.rs
+++ b/crates/entry/tests/local/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet within the test's own process.
+//! A fleet that runs in the test's own process, with stand-ins for backend servers and platform.
 #![allow(dead_code, reason = "each test file uses the parts that it needs")]
 
 use hickorycross_agent::Agent;
@@ -10,49 +10,49 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Duration;
 
-/// The school spelling example.
-pub(crate) const SCHOOL: &str = include_str!("../../../../examples/saraswati.json");
-/// A team of it, and its key.
-pub(crate) const KEY: &str = "example-key-spelling-school-1";
-const TRIES: u32 = 600;
-const PAUSE: Duration = Duration::from_millis(50);
+/// The example document of a school spelling service.
+pub(crate) const SCHOOL_DOCUMENT: &str = include_str!("../../../../examples/saraswati.json");
+/// API key of a team in [`SCHOOL_DOCUMENT`].
+pub(crate) const API_KEY: &str = "example-key-spelling-school-1";
+const MAX_POLLS: u32 = 600;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 static NEXT_NETWORK: AtomicU8 = AtomicU8::new(1);
 
 /// Stand-ins, agents and one entry that end with the test.
-pub(crate) struct Local {
+pub(crate) struct LocalFleet {
     pub(crate) stage: Stage,
     pub(crate) client: reqwest::Client,
     agents: Vec<Agent>,
     entry: Entry,
 }
 
-/// What a test changes before the processes start.
-pub(crate) trait Prepare {
-    /// Changes settings.
-    fn prepare(&self, stage: &mut Stage);
+/// Adjusts settings before the processes start.
+pub(crate) trait AdjustSettings {
+    /// Adjusts the settings of entries and agents.
+    fn adjust(&self, stage: &mut Stage);
 }
 
-impl<F: Fn(&mut Stage)> Prepare for F {
-    fn prepare(&self, stage: &mut Stage) {
+impl<F: Fn(&mut Stage)> AdjustSettings for F {
+    fn adjust(&self, stage: &mut Stage) {
         self(stage);
     }
 }
 
-impl Local {
+impl LocalFleet {
     /// Starts one entry without agents.
-    pub(crate) async fn entry_alone(prepare: impl Prepare) -> Self {
-        Self::start_some(prepare, false).await
+    pub(crate) async fn start_entry_only(adjust: impl AdjustSettings) -> Self {
+        Self::start_with(adjust, false).await
     }
 
     /// Starts one entry and every agent.
-    pub(crate) async fn whole(prepare: impl Prepare) -> Self {
-        Self::start_some(prepare, true).await
+    pub(crate) async fn start(adjust: impl AdjustSettings) -> Self {
+        Self::start_with(adjust, true).await
     }
 
-    async fn start_some(prepare: impl Prepare, has_agents: bool) -> Self {
+    async fn start_with(adjust: impl AdjustSettings, has_agents: bool) -> Self {
         let mut stage = Stage::set_up(&options()).await.expect("a stage");
-        prepare.prepare(&mut stage);
+        adjust.adjust(&mut stage);
         let mut agents = Vec::new();
         for settings in stage.agents.iter().filter(|_| has_agents) {
             agents.push(Agent::start(settings, Exposition::detached()).await.expect("an agent"));
@@ -64,18 +64,18 @@
         local
     }
 
-    /// Where callers reach the entry.
-    pub(crate) fn callers(&self) -> SocketAddr {
+    /// Returns the address for callers' requests.
+    pub(crate) fn caller_address(&self) -> SocketAddr {
         self.stage.entries[0].caller_address
     }
 
-    /// A request with the team's key.
+    /// Creates a request with [`API_KEY`].
     pub(crate) fn request(&self, method: reqwest::Method, path: &str) -> reqwest::RequestBuilder {
-        let url = format!("http://{}{path}", self.callers());
-        self.client.request(method, url).bearer_auth(KEY)
+        let url = format!("http://{}{path}", self.caller_address());
+        self.client.request(method, url).bearer_auth(API_KEY)
     }
 
-    /// The stand-ins of engines.
+    /// Returns the stand-ins for engines.
     pub(crate) fn engines(&self) -> impl Iterator<Item = &EngineStandIn> {
         self.stage.backends.values().filter_map(|backend| match backend {
             BackendStandIn::Engine(engine) => Some(engine),
@@ -83,7 +83,7 @@
         })
     }
 
-    /// The stand-ins of plain services.
+    /// Returns the stand-ins for services.
     pub(crate) fn services(&self) -> impl Iterator<Item = &ServiceStandIn> {
         self.stage.backends.values().filter_map(|backend| match backend {
             BackendStandIn::Engine(_) => None,
@@ -106,14 +106,14 @@
     }
 }
 
-/// Starts a further entry.
+/// Starts an entry, without waiting until it is ready.
 pub(crate) async fn start_entry(settings: &Settings) -> Entry {
     Entry::start(settings, Exposition::detached()).await.expect("an entry")
 }
 
 fn options() -> StageOptions {
     StageOptions {
-        document: SCHOOL.to_owned(),
+        document: SCHOOL_DOCUMENT.to_owned(),
         entries: 2,
         network: unique_network(),
         knobs: Knobs::default(),
@@ -122,18 +122,18 @@
     }
 }
 
-/// Waits until a condition holds; the bound only ends a test that would hang.
-pub(crate) async fn wait_for(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    for _ in 0..TRIES {
-        if holds().await {
+/// Polls until a condition holds; panics after [`MAX_POLLS`], so that a failing test ends.
+pub(crate) async fn wait_for(description: &str, mut condition: impl AsyncFnMut() -> bool) {
+    for _ in 0..MAX_POLLS {
+        if condition().await {
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("waited in vain: {what}");
+    panic!("timed out waiting for {description}");
 }
 
-/// Two bytes of a loopback network that no other test process uses at the same time.
+/// Returns two bytes of a loopback network address that no concurrent test process uses.
 fn unique_network() -> [u8; 2] {
     let [.., third, fourth] = std::process::id().to_be_bytes();
     let own = NEXT_NETWORK.fetch_add(1, Ordering::Relaxed);
--- a/crates/entry/tests/local/raw.rs
+++ b/crates/entry/tests/local/raw.rs
@@ -1,4 +1,4 @@
-//! Requests written byte by byte, for what no client library would send.
+//! A raw HTTP/1.1 client, for requests that client libraries refuse to send.
 #![allow(dead_code, reason = "each test file uses the parts that it needs")]
 
 use serde_json::Value;
@@ -6,7 +6,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// An answer.
+/// A response, read from the connection.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) status: u16,
@@ -15,7 +15,7 @@
 }
 
 impl Answer {
-    /// The value of a header.
+    /// Returns the value of the first header with the given name.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|line| {
             let (found, value) = line.split_once(": ")?;
@@ -23,20 +23,20 @@
         })
     }
 
-    /// The body as JSON.
+    /// Returns the body as JSON, or null if it can't be parsed.
     pub(crate) fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 }
 
-/// Sends bytes and reads the answer.
+/// Sends bytes on a new connection and reads the response.
 pub(crate) async fn exchange(address: SocketAddr, bytes: &[u8]) -> Answer {
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     stream.write_all(bytes).await.expect("bytes sent");
     read_answer(&mut stream).await
 }
 
-/// Reads a head and the body that it announces, or until the other end closes.
+/// Reads a head and its body, up to the `content-length` or until the peer closes.
 pub(crate) async fn read_answer(stream: &mut TcpStream) -> Answer {
     let mut read = Vec::new();
     let mut buffer = [0; 4096];
@@ -46,7 +46,8 @@
         if announced.is_some_and(|bytes: usize| answer.body.len() >= bytes) {
             return answer;
         }
-        // A server that refuses a body unread may reset the connection after its answer.
+        // A server that refuses a request without reading its body may reset the connection after
+        // the response.
         match stream.read(&mut buffer).await {
             Ok(0) | Err(_) => return answer,
             Ok(count) => read.extend_from_slice(&buffer[..count]),
--- a/crates/entry/tests/tls.rs
+++ b/crates/entry/tests/tls.rs
@@ -14,7 +14,7 @@
 use hickorycross_runtime::security::{AGENT_NAME, KeyFiles, LinkKeys, LinkSecurity};
 use hickorycross_runtime::trail::{Entry as Record, Trail};
 use hickorycross_runtime::view::View;
-use local::{Local, wait_for};
+use local::{LocalFleet, wait_for};
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, ServerName};
 use std::io::{Read, Write};
@@ -277,7 +277,7 @@
         let entries = stage.entries.iter_mut();
         entries.for_each(|settings| settings.link_security = keys.security(Holder::Entry));
     };
-    let local = Local::whole(secure).await;
+    let local = LocalFleet::start(secure).await;
     let ask = || local.request(reqwest::Method::GET, "/textbook/words").send();
     expect_that!(ask().await.or_fail()?.status().as_u16(), eq(200));
     keys.issue();
@@ -307,8 +307,8 @@
             key_file: files.key_file.clone(),
         });
     };
-    let local = Local::entry_alone(secure).await;
-    let address = local.callers();
+    let local = LocalFleet::start_entry_only(secure).await;
+    let address = local.caller_address();
     let authority = CertificateDer::from_pem_file(&files.authority_file).or_fail()?;
     let answer = tokio::task::spawn_blocking(move || ask_over_tls(address, authority));
     let answer = answer.await.or_fail()?.or_fail()?;
--- a/crates/entry/tests/whole_path.rs
+++ b/crates/entry/tests/whole_path.rs
@@ -1,8 +1,9 @@
-//! The whole path with separate processes: caller, entry, agent, backend server, and back.
+//! End-to-end test with separate processes: requests pass from a caller through entry and agent to
+//! a backend server, and the answers return.
 
 mod fleet;
 
-use fleet::{Fleet, SCHOOL};
+use fleet::{Fleet, SCHOOL_DOCUMENT};
 use googletest::prelude::*;
 use hickorycross_standins::{Knobs, expected_answer};
 use serde_json::{Value, json};
@@ -21,7 +22,7 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_come_back_whole() -> googletest::Result<()> {
-    let fleet = Fleet::start(SCHOOL, 2, Knobs::default()).await;
+    let fleet = Fleet::start(SCHOOL_DOCUMENT, 2, Knobs::default()).await;
     for entry in 0..2 {
         let prompt = format!("line {entry}");
         let body = json!({"model": "gujarati-line", "max_tokens": 12,
