--- a/crates/core/src/health/attempt_counts.rs
+++ b/crates/core/src/health/attempt_counts.rs
@@ -18,14 +18,14 @@
 }
 
 impl AttemptCounts {
-    /// AttemptCounts an answered attempt.
+    /// Counts an answered attempt.
     pub(super) fn answered(&mut self, now: Now) {
         self.decay(now);
         self.answers += 1.0;
         self.consecutive_failures = 0;
     }
 
-    /// AttemptCounts a failed attempt.
+    /// Counts a failed attempt.
     pub(super) fn failed(&mut self, now: Now) {
         self.decay(now);
         self.failures += 1.0;
--- a/crates/core/tests/map_demand.rs
+++ b/crates/core/tests/map_demand.rs
@@ -67,8 +67,9 @@
 const END_MS: u64 = 3_300;
 
 // Guards against two changes of the map after each shift of demand, the first of which gains little
-// while streams pause for twice as long. It happens when the estimate averages over a fixed time
-// and still includes a third of the demand before the shift.
+// while streams pause for twice as long. It happens when the leader decides 300 ms after the shift
+// from an average over 200 ms that still includes a third of the demand before it. The copies take
+// half a second, and then the leader decides again.
 #[test]
 fn samples_from_before_a_shift_are_dropped() {
     for case in CASES {
--- a/crates/core/tests/map_orders.rs
+++ b/crates/core/tests/map_orders.rs
@@ -131,10 +131,10 @@
     even.iter().zip(&hot).map(mix).collect()
 }
 
-// Guards against a decision that takes 0.45 s after a shift in a group of 63 ranks. It happens when
-// the decision waits for an evaluation that detects no shift: each of three evaluations 100 ms
-// apart finds that the newest samples differ, although the second has already dropped all samples
-// from before the shift.
+// Guards against a group of 63 ranks that is uneven for 1.0 s after each shift, 0.45 s of it until
+// the decision. It happens when the decision waits for an evaluation that detects no shift: each of
+// three evaluations 100 ms apart finds that the newest samples differ, although the second has
+// already dropped all samples from before the shift.
 #[test]
 fn a_shift_is_decided_without_another_evaluation() {
     let mut leader = Leader::new("g", 0, 1 << 20, 1);
--- a/crates/direct/src/agent/rank.rs
+++ b/crates/direct/src/agent/rank.rs
@@ -28,7 +28,8 @@
     pub waiting: u32,
     /// Number of requests that run at the rank.
     pub running: u32,
-    /// Duration of the rank's own work relative to its usual duration, in thousandths.
+    /// Duration of the rank's own work relative to its usual duration, in thousandths; 1000 is the
+    /// usual duration.
     pub pace_permille: u32,
 }
 
